--- /dev/null
+++ b/core/front/recordings_test.go
@@ -0,0 +1,32 @@
+package front
+
+import (
+	"path/filepath"
+	"testing"
+
+	"sorrelloom/core/goldentest"
+	"sorrelloom/core/ledger"
+	"sorrelloom/core/plan"
+	"sorrelloom/core/wire"
+)
+
+// recordings are bodies of the HTTP API as commit 40d3d2c encoded them.
+const recordings = "testdata/40d3d2c"
+
+// bodies are those of requests and of answers.
+var bodies = map[string]any{
+	"request-job": ledger.JobSpec{}, "request-beat": ledger.Beat{}, "plan": plan.Plan{},
+	"answer-outcome": Outcome{}, "answer-job": JobView{}, "answer-orders": OrdersView{}, "answer-check": CheckView{},
+	"answer-worker": WorkerView{}, "answer-node": wire.Node{}, "answer-duty": ledger.Duty{},
+}
+
+func TestBodiesAreEncodedAsRecorded(t *testing.T) {
+	names := map[string]bool{}
+	for name, example := range bodies {
+		names[name+".json"] = true
+		t.Run(name, func(t *testing.T) {
+			goldentest.JSON(t, filepath.Join(recordings, name+".json"), example)
+		})
+	}
+	goldentest.Unclaimed(t, recordings, names)
+}
--- /dev/null
+++ b/core/goldentest/file.go
@@ -0,0 +1,78 @@
+package goldentest
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// File compares data with a golden file and gives what the file holds. With the flag
+// -update it writes the file.
+func File(t testing.TB, path string, got []byte) []byte {
+	t.Helper()
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: encoded now as\n%s\nrecorded as\n%s", path, got, want)
+	}
+	return want
+}
+
+// JSON holds a type that is encoded as JSON to its golden file: a filled value is
+// encoded as recorded, and the recording is read as that value.
+func JSON(t testing.TB, path string, example any) {
+	t.Helper()
+	want := Filled(t, example)
+	recorded := File(t, path, Indented(t, want))
+	var compact bytes.Buffer
+	if err := json.Compact(&compact, recorded); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	got := reflect.New(reflect.TypeOf(example))
+	if err := json.Unmarshal(compact.Bytes(), got.Interface()); err != nil {
+		t.Errorf("%s: %v", path, err)
+	}
+	if !reflect.DeepEqual(got.Elem().Interface(), want) {
+		t.Errorf("%s is read as\n%+v\nnot\n%+v", path, got.Elem().Interface(), want)
+	}
+}
+
+// Indented encodes a value as JSON for people to read.
+func Indented(t testing.TB, v any) []byte {
+	t.Helper()
+	data, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(data, '\n')
+}
+
+// Unclaimed fails for every golden file in a folder that is not named.
+func Unclaimed(t testing.TB, folder string, names map[string]bool) {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		if !names[entry.Name()] {
+			t.Errorf("%s in %s belongs to no message", entry.Name(), folder)
+		}
+	}
+}
--- /dev/null
+++ b/core/goldentest/fill.go
@@ -0,0 +1,158 @@
+// Package goldentest holds what the tests of recorded encodings share: a filler that
+// gives every encoded field a value of its own, and golden files that the flag
+// -update writes anew.
+package goldentest
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/fnv"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelloom/core/plan"
+)
+
+// depthMax bounds how deep values are nested.
+const depthMax = 12
+
+// filler gives values that depend on nothing but the path of encoded names, so that
+// neither the names in Go nor the order of the fields matter.
+type filler struct {
+	t testing.TB
+	// paths tells which path a value was given to, so that no two share one.
+	paths map[uint32]string
+}
+
+// Fill sets every encoded field of what the pointer points at, nested ones too, to a
+// distinct value that is not zero. Slices get two elements and maps one.
+func Fill(t testing.TB, pointer any) {
+	t.Helper()
+	filler{t, map[uint32]string{}}.fill(reflect.ValueOf(pointer).Elem(), "", 0)
+}
+
+// Filled gives a value of the type of the example, filled.
+func Filled(t testing.TB, example any) any {
+	t.Helper()
+	value := reflect.New(reflect.TypeOf(example))
+	Fill(t, value.Interface())
+	return value.Elem().Interface()
+}
+
+// number is the value that belongs to a path: at least 1<<16, below 1<<31.
+func (f filler) number(path string) uint32 {
+	f.t.Helper()
+	sum := fnv.New32a()
+	sum.Write([]byte(path))
+	number := sum.Sum32()>>1 | 1<<16
+	if other, taken := f.paths[number]; taken {
+		f.t.Fatalf("the fields %q and %q get the same value", path, other)
+	}
+	f.paths[number] = path
+	return number
+}
+
+func (f filler) fill(v reflect.Value, path string, depth int) {
+	f.t.Helper()
+	if depth > depthMax {
+		f.t.Fatalf("%s is nested more than %d deep", path, depthMax)
+	}
+	if f.fillSpecial(v, path) || f.fillScalar(v, path) {
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem(), path, depth+1)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			f.fill(v.Index(i), fmt.Sprintf("%s/%d", path, i), depth+1)
+		}
+	case reflect.Map:
+		f.fillMap(v, path, depth)
+	case reflect.Struct:
+		f.fillStruct(v, path, depth)
+	default:
+		f.t.Fatalf("%s is of type %s, which the test cannot fill", path, v.Type())
+	}
+}
+
+// fillSpecial fills the types that have an encoding of their own.
+func (f filler) fillSpecial(v reflect.Value, path string) bool {
+	f.t.Helper()
+	switch value := v.Addr().Interface().(type) {
+	case *time.Time:
+		*value = time.Unix(int64(f.number(path)), 7).UTC()
+	case *json.RawMessage:
+		*value = fmt.Appendf(nil, `{"number":%d}`, f.number(path))
+	case *plan.Span:
+		value.Duration = time.Duration(f.number(path)) * time.Millisecond
+	default:
+		return false
+	}
+	return true
+}
+
+func (f filler) fillScalar(v reflect.Value, path string) bool {
+	f.t.Helper()
+	switch v.Kind() {
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text %d", f.number(path)))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int:
+		v.SetInt(int64(f.number(path)))
+	case reflect.Int64:
+		v.SetInt(int64(f.number(path)) << 16)
+	case reflect.Uint64:
+		v.SetUint(uint64(f.number(path)) << 32)
+	case reflect.Float64:
+		v.SetFloat(float64(f.number(path)) + 0.5)
+	case reflect.Interface:
+		v.Set(reflect.ValueOf(fmt.Sprintf("text %d", f.number(path))))
+	default:
+		return false
+	}
+	return true
+}
+
+// fillMap sets one entry, since the order of more is not determined in the encoding.
+func (f filler) fillMap(v reflect.Value, path string, depth int) {
+	f.t.Helper()
+	key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+	f.fill(key, path+"/key", depth+1)
+	f.fill(value, path+"/value", depth+1)
+	v.Set(reflect.MakeMap(v.Type()))
+	v.SetMapIndex(key, value)
+}
+
+func (f filler) fillStruct(v reflect.Value, path string, depth int) {
+	f.t.Helper()
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		switch name, encoded := encodedName(field); {
+		case !encoded:
+		case name == "":
+			f.fill(v.Field(i), path, depth)
+		default:
+			f.fill(v.Field(i), path+"/"+name, depth+1)
+		}
+	}
+}
+
+// encodedName is the name that a field has in the encoding; it is empty for an
+// embedded struct, whose fields are encoded in its place.
+func encodedName(field reflect.StructField) (name string, encoded bool) {
+	tag := field.Tag.Get("json")
+	name, _, _ = strings.Cut(tag, ",")
+	switch {
+	case tag == "-" || !field.IsExported() && !field.Anonymous:
+		return "", false
+	case name == "" && !field.Anonymous:
+		name = field.Name
+	}
+	return name, true
+}
--- /dev/null
+++ b/core/keeper/recording_test.go
@@ -0,0 +1,19 @@
+package keeper
+
+import (
+	"testing"
+
+	"sorrelloom/core/goldentest"
+)
+
+// TestTheReportIsEncodedAsRecorded holds the status page to its encoding by commit 40d3d2c.
+func TestTheReportIsEncodedAsRecorded(t *testing.T) {
+	goldentest.JSON(t, "testdata/40d3d2c/report.json", Report{})
+}
+
+// TestTheKeysAreNamedAsRecorded holds the keys of a keeper's own records to their names by
+// commit 40d3d2c, since it must find them again on its disk.
+func TestTheKeysAreNamedAsRecorded(t *testing.T) {
+	names := map[string][]string{bucketSelf: {keyIdentity, keyRegister, keyStands, keyFounders}}
+	goldentest.File(t, "testdata/40d3d2c/keys.json", goldentest.Indented(t, names))
+}
--- /dev/null
+++ b/daemon/transport/messages_test.go
@@ -0,0 +1,326 @@
+package transport
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+
+	"sorrelloom/core/goldentest"
+	"sorrelloom/core/ledger"
+	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
+)
+
+// recordings are the frames of every kind of message as commit 40d3d2c encoded them.
+// Processes of that release run beside later ones while a cluster is rolled, so that
+// the files must not change. Beside each frame is a description of its content.
+const recordings = "testdata/40d3d2c"
+
+// sender is the address in the recorded headers.
+const sender = "127.0.0.1:7000"
+
+// bodyOf gives the type of the body of each kind. Nothing sends found-view so far.
+var bodyOf = map[string]any{
+	wire.Shuffle:      wire.Gossip{},
+	wire.ShuffleBack:  wire.Gossip{},
+	wire.Nodes:        wire.Gossip{},
+	wire.Found:        wire.FoundBody{},
+	wire.FoundBack:    wire.FoundBody{},
+	wire.FoundView:    wire.FoundBody{},
+	wire.Prepare:      wire.RegisterBody{},
+	wire.PrepareBack:  wire.RegisterBody{},
+	wire.Accept:       wire.RegisterBody{},
+	wire.AcceptBack:   wire.RegisterBody{},
+	wire.Decided:      wire.RegisterBody{},
+	wire.Replicate:    wire.ReplicateBody{},
+	wire.ReplicateAck: wire.ReplicateAckBody{},
+	wire.Snapshot:     wire.SnapshotBody{},
+	wire.SnapshotAsk:  wire.SnapshotAskBody{},
+	wire.Command:      wire.CommandBody{},
+	wire.CommandBack:  wire.CommandBackBody{},
+	wire.Follow:       wire.FollowBody{},
+	wire.News:         wire.NewsBody{},
+	wire.Beat:         wire.BeatBody{},
+	wire.BeatBack:     wire.BeatBackBody{},
+}
+
+// partOf gives the part of a command that belongs to its kind.
+var partOf = map[string]func(to *ledger.Command, from ledger.Command){
+	ledger.KindAccept:      func(to *ledger.Command, from ledger.Command) { to.Accept = from.Accept },
+	ledger.KindBeat:        func(to *ledger.Command, from ledger.Command) { to.Beat = from.Beat },
+	ledger.KindGrant:       func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
+	ledger.KindPushOut:     func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
+	ledger.KindPlan:        func(to *ledger.Command, from ledger.Command) { to.Plan = from.Plan },
+	ledger.KindHello:       func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
+	ledger.KindMove:        func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
+	ledger.KindTake:        func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
+	ledger.KindRenew:       func(to *ledger.Command, from ledger.Command) { to.Renew = from.Renew },
+	ledger.KindCancel:      noPart,
+	ledger.KindSite:        noPart,
+	ledger.KindDrain:       noPart,
+	ledger.KindGone:        noPart,
+	ledger.KindTick:        noPart,
+	ledger.KindRead:        noPart,
+	ledger.KindReadCount:   noPart,
+	ledger.KindReadPlan:    noPart,
+	ledger.KindReadRequest: noPart,
+	ledger.KindProve:       noPart,
+}
+
+func noPart(*ledger.Command, ledger.Command) {}
+
+// message is one to be recorded, under a name of its own.
+type message struct {
+	name string
+	kind string
+	body any
+}
+
+// messages gives each kind with every field set and with none, and those variants
+// that carry other encodings within them.
+func messages(t *testing.T) []message {
+	t.Helper()
+	var all []message
+	for kind, body := range bodyOf {
+		all = append(all, message{kind, kind, goldentest.Filled(t, body)}, message{kind + "-empty", kind, body})
+	}
+	for kind := range partOf {
+		body := goldentest.Filled(t, wire.CommandBody{}).(wire.CommandBody)
+		body.Command = commandOf(t, kind)
+		all = append(all, message{"command-" + kind, wire.Command, body})
+	}
+	return append(all, carriers(t)...)
+}
+
+// commandOf gives a command of a kind with all fields of that kind set.
+func commandOf(t *testing.T, kind string) ledger.Command {
+	t.Helper()
+	filled := goldentest.Filled(t, ledger.Command{}).(ledger.Command)
+	cmd := filled
+	cmd.Kind = kind
+	cmd.Accept, cmd.Beat, cmd.Renew = ledger.JobSpec{}, ledger.Beat{}, nil
+	cmd.Grant, cmd.Plan, cmd.Hello = ledger.Grant{}, ledger.PlanChange{}, ledger.Hello{}
+	partOf[kind](&cmd, filled)
+	return cmd
+}
+
+// carriers are the messages that carry encoded commands and records.
+func carriers(t *testing.T) []message {
+	t.Helper()
+	whole := ledger.Encode(goldentest.Filled(t, ledger.Command{}).(ledger.Command)).Encoded
+	commands := []json.RawMessage{whole, ledger.Encode(commandOf(t, ledger.KindTick)).Encoded}
+	replicate := goldentest.Filled(t, wire.ReplicateBody{}).(wire.ReplicateBody)
+	replicate.Commands = commands
+	news := goldentest.Filled(t, wire.NewsBody{}).(wire.NewsBody)
+	committed, records, bounced := news, news, news
+	committed.Commands, committed.Records, committed.Bounced, committed.Relayed = commands, nil, false, false
+	records.Commands, records.Bounced, records.Relayed = nil, false, false
+	bounced.Commands, bounced.Records, bounced.Relayed = nil, nil, false
+	relayed := committed
+	relayed.Relayed = true
+	snapshot := goldentest.Filled(t, wire.SnapshotBody{}).(wire.SnapshotBody)
+	snapshot.Records = machine.MustJSON(news.Records)
+	return []message{
+		{"replicate-commands", wire.Replicate, replicate},
+		{"news-commands", wire.News, committed},
+		{"news-relayed", wire.News, relayed},
+		{"news-records", wire.News, records},
+		{"news-bounced", wire.News, bounced},
+		{"snapshot-records", wire.Snapshot, snapshot},
+	}
+}
+
+// encode gives a message's frame, made as a host makes it.
+func encode(t *testing.T, kind string, body any) []byte {
+	t.Helper()
+	send := machine.Send{Kind: kind, Body: body}
+	data, err := send.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return frameOf(t, machine.Line{
+		Wire: machine.WireSequence, Kind: kind, From: sender, Key: send.Key(), Body: data,
+	})
+}
+
+// TestMessagesAreEncodedAsRecorded reads each recording as the type of its kind, wants
+// what was recorded, and encodes it again to the same bytes.
+func TestMessagesAreEncodedAsRecorded(t *testing.T) {
+	for _, m := range messages(t) {
+		t.Run(m.name, func(t *testing.T) {
+			path := filepath.Join(recordings, m.name+".frame")
+			frame := goldentest.File(t, path, encode(t, m.kind, m.body))
+			line, err := ReadFrame(bytes.NewReader(frame))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if line.Kind != m.kind || line.From != sender || line.Wire != machine.WireSequence {
+				t.Errorf("version %d, kind %s, sender %s", line.Wire, line.Kind, line.From)
+			}
+			checkBody(t, line, m.body)
+			content := goldentest.Indented(t, describe(t, line))
+			goldentest.File(t, filepath.Join(recordings, m.name+".json"), content)
+		})
+	}
+}
+
+// checkBody reads a recorded body with the production decoder.
+func checkBody(t *testing.T, line machine.Line, want any) {
+	t.Helper()
+	got := reflect.New(reflect.TypeOf(want))
+	if err := machine.Unmarshal(line.Body, got.Interface()); err != nil {
+		t.Fatal(err)
+	}
+	body := got.Elem().Interface()
+	if !reflect.DeepEqual(body, want) {
+		t.Errorf("the recording is read as\n%+v\nnot\n%+v", body, want)
+	}
+	if key := (machine.Send{Body: body}).Key(); key != line.Key {
+		t.Errorf("the key is %q, recorded %q", key, line.Key)
+	}
+	if again := machine.MustMarshal(body); !bytes.Equal(again, line.Body) {
+		t.Errorf("encoded again as\n%x\nrecorded as\n%x", again, line.Body)
+	}
+}
+
+// describe gives a line's content by its encoded names alone.
+func describe(t *testing.T, line machine.Line) map[string]any {
+	t.Helper()
+	var body map[string]any
+	if err := machine.Unmarshal(line.Body, &body); err != nil {
+		t.Fatal(err)
+	}
+	return map[string]any{
+		"version": line.Wire, "kind": line.Kind, "from": line.From, "key": line.Key, "body": plain(body),
+	}
+}
+
+// plain turns a generic value of the encoding into one that JSON can hold. Bytes that
+// are an encoding themselves are taken apart.
+func plain(v any) any {
+	switch v := v.(type) {
+	case map[string]any:
+		for key, value := range v {
+			v[key] = plain(value)
+		}
+	case map[any]any:
+		out := map[string]any{}
+		for key, value := range v {
+			out[fmt.Sprint(key)] = plain(value)
+		}
+		return out
+	case []any:
+		for i, value := range v {
+			v[i] = plain(value)
+		}
+	case []byte:
+		return plainBytes(v)
+	}
+	return v
+}
+
+func plainBytes(data []byte) any {
+	if json.Valid(data) {
+		return map[string]any{"bytes of JSON": json.RawMessage(data)}
+	}
+	var nested map[string]any
+	if machine.Unmarshal(data, &nested) == nil {
+		return map[string]any{"bytes of CBOR": plain(nested)}
+	}
+	return map[string]any{"bytes": data}
+}
+
+// TestEveryKindIsRecorded reads the kinds from the source, so that a new one must be recorded.
+func TestEveryKindIsRecorded(t *testing.T) {
+	recorded := map[string]bool{}
+	for _, m := range messages(t) {
+		recorded[m.name] = true
+	}
+	kinds := constants(t, "../../core/wire", "")
+	if len(kinds) != len(bodyOf) {
+		t.Errorf("%d kinds of messages in the source, %d recorded", len(kinds), len(bodyOf))
+	}
+	for _, kind := range kinds {
+		if !recorded[kind] {
+			t.Errorf("messages of kind %s are not recorded", kind)
+		}
+	}
+	kinds = constants(t, "../../core/ledger", "Kind")
+	if len(kinds) != len(partOf) {
+		t.Errorf("%d kinds of commands in the source, %d recorded", len(kinds), len(partOf))
+	}
+	for _, kind := range kinds {
+		if !recorded["command-"+kind] {
+			t.Errorf("commands of kind %s are not recorded", kind)
+		}
+	}
+}
+
+// TestEveryRecordingIsRead fails for a file that is left over.
+func TestEveryRecordingIsRead(t *testing.T) {
+	names := map[string]bool{}
+	for _, m := range messages(t) {
+		names[m.name+".frame"], names[m.name+".json"] = true, true
+	}
+	goldentest.Unclaimed(t, recordings, names)
+}
+
+// constants gives the values of a package's text constants whose names begin so.
+func constants(t *testing.T, folder, prefix string) []string {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var values []string
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		source, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, source, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		values = append(values, constantsOf(file, prefix)...)
+	}
+	return values
+}
+
+func constantsOf(file *ast.File, prefix string) (values []string) {
+	for _, declaration := range file.Decls {
+		group, ok := declaration.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range group.Specs {
+			values = append(values, textOf(spec.(*ast.ValueSpec), prefix)...)
+		}
+	}
+	return values
+}
+
+func textOf(spec *ast.ValueSpec, prefix string) (values []string) {
+	for i, value := range spec.Values {
+		literal, ok := value.(*ast.BasicLit)
+		if !ok || literal.Kind != token.STRING || !strings.HasPrefix(spec.Names[i].Name, prefix) {
+			continue
+		}
+		if text, err := strconv.Unquote(literal.Value); err == nil {
+			values = append(values, text)
+		}
+	}
+	return values
+}
