--- /dev/null
+++ b/daemon/compatibility/cluster_test.go
@@ -0,0 +1,269 @@
+// A cluster of real keepers in memory, whose disks are real data folders.
+package compatibility
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"sorrelloom/core/keeper"
+	"sorrelloom/core/ledger"
+	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
+	"sorrelloom/daemon/store"
+)
+
+const (
+	stride     = time.Millisecond
+	lineTakes  = stride
+	writeTakes = 3 * stride
+	gossipEach = 300 * stride
+)
+
+// wallStart is the time of day at which a cluster begins.
+var wallStart = time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
+
+// replica is one keeper with its data folder.
+type replica struct {
+	address string
+	site    string
+	keeper  *keeper.Keeper
+	data    *store.Store
+	audits  []machine.Audit
+	// cut takes all its lines away.
+	cut bool
+}
+
+// cluster is a number of replicas on one clock.
+type cluster struct {
+	t        *testing.T
+	now      time.Duration
+	replicas []*replica
+	agenda   map[time.Duration][]func()
+	// lost is a kind of line that never comes.
+	lost string
+	// dropped counts the commands that were taken back from a log.
+	dropped int
+	asked   uint64
+}
+
+// newCluster founds a cluster with 2*copies+1 replicas below a folder.
+func newCluster(t *testing.T, folder string, copies int) *cluster {
+	c := &cluster{t: t, agenda: map[time.Duration][]func(){}}
+	for i := range 2*copies + 1 {
+		c.start(folder, i, copies)
+	}
+	c.pass(3 * time.Second)
+	return c
+}
+
+func (c *cluster) start(folder string, i, copies int) {
+	address := string(rune('a' + i))
+	data, stored, err := store.Open(filepath.Join(folder, address))
+	c.check(err)
+	c.t.Cleanup(func() { _ = data.Close() })
+	env := keeper.Env{
+		Address: address, Site: string(rune('x' + i%3)), FreshID: address + "-1", Boot: uint64(100 + i), Copies: copies,
+	}
+	if i < 3 {
+		env.Founders = []string{"a", "b", "c"}
+	}
+	k, err := keeper.New(env, stored)
+	c.check(err)
+	c.replicas = append(c.replicas, &replica{address: address, site: env.Site, keeper: k, data: data})
+}
+
+func (c *cluster) check(err error) {
+	c.t.Helper()
+	if err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+func (c *cluster) after(d time.Duration, do func()) {
+	c.agenda[c.now+d] = append(c.agenda[c.now+d], do)
+}
+
+// time is the monotonic time of every process.
+func (c *cluster) time() time.Duration { return c.now + time.Microsecond }
+
+func (c *cluster) step(r *replica, in machine.Input) {
+	in.Wall = wallStart.Add(c.now)
+	c.carryOut(r, r.keeper.Step(c.time(), in))
+}
+
+// carryOut sends and writes what a replica wants.
+func (c *cluster) carryOut(r *replica, out machine.Output) {
+	for _, s := range out.Sends {
+		c.send(r, s)
+	}
+	for _, w := range out.Writes {
+		c.dropped += w.Drop
+		c.check(r.data.Write(w))
+		c.after(writeTakes, func() { c.step(r, machine.Input{Wrote: w.Done}) })
+	}
+	r.audits = append(r.audits, out.Audits...)
+}
+
+func (c *cluster) send(from *replica, s machine.Send) {
+	i := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.address == s.To })
+	if i < 0 || s.Kind == c.lost {
+		return
+	}
+	body, err := s.Encode()
+	c.check(err)
+	to := c.replicas[i]
+	line := machine.Line{Wire: machine.WireSequence, Kind: s.Kind, From: from.address, Body: body}
+	c.after(lineTakes, func() {
+		if !from.cut && !to.cut {
+			c.step(to, machine.Input{Line: line})
+		}
+	})
+}
+
+// pass lets time go by.
+func (c *cluster) pass(d time.Duration) {
+	for end := c.now + d; c.now < end; {
+		c.now += stride
+		due := c.agenda[c.now]
+		delete(c.agenda, c.now)
+		for _, do := range due {
+			do()
+		}
+		for _, r := range c.replicas {
+			if r.keeper.Wakeup() <= c.now {
+				c.step(r, machine.Input{})
+			}
+		}
+		if c.now%gossipEach == 0 {
+			c.gossip()
+		}
+	}
+}
+
+// gossip tells all replicas of one another, as their member machines would.
+func (c *cluster) gossip() {
+	var nodes []wire.Node
+	for _, r := range c.replicas {
+		nodes = append(nodes, wire.Node{ID: r.keeper.ID(), Role: "keeper", Site: r.site, Address: r.address})
+	}
+	body := machine.MustMarshal(wire.Gossip{Nodes: nodes})
+	line := machine.Line{Wire: machine.WireSequence, Kind: wire.Nodes, Body: body}
+	for _, r := range c.replicas {
+		c.step(r, machine.Input{Line: line})
+	}
+}
+
+func (c *cluster) primary() *replica {
+	c.t.Helper()
+	for range 10000 {
+		for _, r := range c.replicas {
+			if r.keeper.Proven(c.time()) {
+				return r
+			}
+		}
+		c.pass(stride)
+	}
+	c.t.Fatal("nobody leads")
+	return nil
+}
+
+// submit hands a command to a replica and gives its number.
+func (c *cluster) submit(r *replica, cmd ledger.Command) uint64 {
+	c.asked++
+	var out machine.Output
+	r.keeper.Command(c.time(), c.asked, cmd, &out)
+	c.carryOut(r, out)
+	c.carryOut(r, r.keeper.Flush(c.time()))
+	return c.asked
+}
+
+// do has the primary carry a command out and waits for the answer.
+func (c *cluster) do(cmd ledger.Command) ledger.Answer {
+	c.t.Helper()
+	p := c.primary()
+	id := c.submit(p, cmd)
+	for range 10000 {
+		c.pass(stride)
+		for _, back := range p.keeper.TakeOwn() {
+			if back.ID == id {
+				return back.Answer
+			}
+		}
+	}
+	c.t.Fatalf("%s is not answered", cmd.Kind)
+	return ledger.Answer{}
+}
+
+// must is do with a command that is not refused.
+func (c *cluster) must(cmd ledger.Command) ledger.Answer {
+	c.t.Helper()
+	a := c.do(cmd)
+	if !a.Code.Good() {
+		c.t.Fatalf("%s: %v %s", cmd.Kind, a.Code, a.Why)
+	}
+	return a
+}
+
+// refused is do with a command that is.
+func (c *cluster) refused(cmd ledger.Command) {
+	c.t.Helper()
+	if a := c.do(cmd); a.Code.Good() {
+		c.t.Fatalf("%s is not refused", cmd.Kind)
+	}
+}
+
+// snapshot has every replica write one, and waits until each is on its disk.
+func (c *cluster) snapshot(folder string) {
+	for _, r := range c.replicas {
+		c.step(r, machine.Input{SnapshotDue: true})
+	}
+	c.must(ledger.Command{Kind: ledger.KindTick})
+	c.pass(time.Second)
+	for _, r := range c.replicas {
+		path := filepath.Join(folder, r.address, "snapshot-000000000002")
+		waitFor(c.t, path, func() bool { _, err := os.Stat(path); return err == nil })
+	}
+}
+
+// waitFor waits for what another goroutine writes.
+func waitFor(t *testing.T, what string, done func() bool) {
+	t.Helper()
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
+	for deadline := time.Now().Add(10 * time.Second); !done(); <-ticker.C {
+		if time.Now().After(deadline) {
+			t.Fatalf("waited too long for %s", what)
+		}
+	}
+}
+
+// diverge has the primary log a command that is never committed, so that it takes
+// the command back once another leads.
+func (c *cluster) diverge() {
+	old := c.primary()
+	old.cut = true
+	c.submit(old, ledger.Command{Kind: ledger.KindTick})
+	c.pass(4 * time.Second)
+	old.cut = false
+	c.pass(4 * time.Second)
+	if c.dropped == 0 {
+		c.t.Fatal("no command was taken back")
+	}
+}
+
+// leaveVotes ends with the primary gone and the next view accepted by the witnesses
+// but not decided.
+func (c *cluster) leaveVotes() {
+	c.lost = wire.AcceptBack
+	c.primary().cut = true
+	c.pass(3 * time.Second)
+}
+
+func (c *cluster) close() {
+	for _, r := range c.replicas {
+		c.check(r.data.Close())
+	}
+}
--- /dev/null
+++ b/daemon/compatibility/state_test.go
@@ -0,0 +1,157 @@
+// The whole state of a replica that starts from a data folder, in encoded names only.
+package compatibility
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"sorrelloom/core/keeper"
+	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
+	"sorrelloom/daemon/store"
+)
+
+// ownBucket holds a keeper's own records.
+const ownBucket = "keeper"
+
+// replicaState is what a keeper knows of itself after a start. Each field is seen by
+// what the keeper does, not by what the disk has.
+type replicaState struct {
+	Identity string          `json:"identity"`
+	Register json.RawMessage `json:"register"`
+	Stands   bool            `json:"stands"`
+	Founders []string        `json:"founders"`
+}
+
+// opened is a data folder as a keeper that starts finds it.
+type opened struct {
+	stored machine.Stored
+	keeper *keeper.Keeper
+}
+
+// open starts a keeper from a copy of a data folder.
+func open(t *testing.T, folder string) opened {
+	t.Helper()
+	scratch := filepath.Join(t.TempDir(), "data")
+	if err := os.CopyFS(scratch, os.DirFS(folder)); err != nil {
+		t.Fatal(err)
+	}
+	data, stored, err := store.Open(scratch)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = data.Close() })
+	return opened{stored, start(t, stored)}
+}
+
+func start(t *testing.T, stored machine.Stored) *keeper.Keeper {
+	t.Helper()
+	k, err := keeper.New(keeper.Env{FreshID: "fresh", Boot: 1, Copies: 1}, stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return k
+}
+
+// state asks keepers that start from the stored records for all they know.
+func (o opened) state(t *testing.T) replicaState {
+	t.Helper()
+	return replicaState{
+		Identity: o.keeper.ID(), Register: registerOf(t, start(t, o.stored)), Stands: stands(t, start(t, o.stored)),
+		Founders: founders(t, o.stored),
+	}
+}
+
+// drive steps a keeper with an input and has its writes done. It gives all output.
+func drive(k *keeper.Keeper, now time.Duration, in machine.Input) machine.Output {
+	out := k.Step(now, in)
+	for i := 0; i < len(out.Writes); i++ {
+		more := k.Step(now, machine.Input{Wrote: out.Writes[i].Done})
+		out.Writes, out.Sends = append(out.Writes, more.Writes...), append(out.Sends, more.Sends...)
+	}
+	return out
+}
+
+func lineOf(kind string, body any) machine.Input {
+	return machine.Input{Line: machine.Line{
+		Wire: machine.WireSequence, Kind: kind, From: "a", Body: machine.MustMarshal(body),
+	}}
+}
+
+// registerOf asks for a vote that is not given, after which the keeper writes its
+// register as it is.
+func registerOf(t *testing.T, k *keeper.Keeper) json.RawMessage {
+	t.Helper()
+	out := drive(k, stride, lineOf(wire.Prepare, wire.RegisterBody{To: k.ID(), From: wire.Seat{ID: "asker"}}))
+	for _, w := range out.Writes {
+		for _, r := range w.Records {
+			if r.Bucket == ownBucket && r.Key == "register" {
+				return r.Value
+			}
+		}
+	}
+	t.Fatal("the keeper wrote no register")
+	return nil
+}
+
+// stands says whether the keeper acknowledges a line with the word that it wants to
+// lead the next view.
+func stands(t *testing.T, k *keeper.Keeper) bool {
+	t.Helper()
+	view := k.View()
+	out := drive(k, stride, lineOf(wire.Replicate, wire.ReplicateBody{
+		Boot: view.Boot, View: view, From: view.Primary, Token: 1, After: k.Ledger().Position(),
+	}))
+	for _, s := range out.Sends {
+		if ack, ok := s.Body.(wire.ReplicateAckBody); ok {
+			return ack.Stands
+		}
+	}
+	return false
+}
+
+// founders gives the addresses that a keeper asks for a view as long as it knows none.
+func founders(t *testing.T, stored machine.Stored) []string {
+	t.Helper()
+	var own []machine.Record
+	for _, r := range stored.Records {
+		if r.Bucket == ownBucket && r.Key != "register" && r.Key != "stands" {
+			own = append(own, r)
+		}
+	}
+	k := start(t, machine.Stored{Records: own})
+	asked := []string{}
+	for now := stride; now < 5*time.Second; now += 100 * stride {
+		for _, s := range drive(k, now, machine.Input{}).Sends {
+			if s.Kind == wire.Found && !slices.Contains(asked, s.To) {
+				asked = append(asked, s.To)
+			}
+		}
+	}
+	slices.Sort(asked)
+	return asked
+}
+
+// canonical encodes a value with sorted names, so that only names and values matter.
+func canonical(t *testing.T, v any) []byte {
+	t.Helper()
+	decoder := json.NewDecoder(bytes.NewReader(machine.MustJSON(v)))
+	decoder.UseNumber()
+	var generic any
+	if err := decoder.Decode(&generic); err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	encoder := json.NewEncoder(&out)
+	encoder.SetEscapeHTML(false)
+	encoder.SetIndent("", " ")
+	if err := encoder.Encode(generic); err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
