--- a/daemon/compatibility/generate_test.go
+++ b/daemon/compatibility/generate_test.go
@@ -16,7 +16,7 @@
 //	go test ./compatibility -run TestWriteFixture -update "$(git rev-parse --short HEAD)"
 func TestWriteFixture(t *testing.T) {
 	if *update == "" {
-		t.Skip("only with -update")
+		return // Nothing is checked here; the fixture is written on demand only.
 	}
 	if _, err := os.Stat(filepath.Join(testdata, *update)); err == nil {
 		t.Fatalf("there is a fixture of %s already", *update)
