--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -18,115 +18,115 @@
 
 // Env is what an agent begins with. First differs between two runs of the
 // process, so that no reply reaches the next run as its own.
-type Env struct {
-	Address string
-	Site    string
-	Keepers []string
-	First   uint64
-	Hold    time.Duration // how long the core may hold a report
-	Again   time.Duration // when the worker is to call next
-	Silent  time.Duration // after this time without a call the worker is not reported
+type Config struct {
+	Address       string
+	Zone          string
+	Replicas      []string
+	FirstReportID uint64
+	ReportWait    time.Duration // how long the core may hold a report
+	CallInterval  time.Duration // when the worker is to call next
+	CallTimeout   time.Duration // after this time without a call the worker is not reported
 }
 
 const (
-	holdDefault   = 500 * time.Millisecond
-	againDefault  = 100 * time.Millisecond
-	silentDefault = time.Second
-
-	replyWithin  = 2 * time.Second
-	handWithin   = 1500 * time.Millisecond
-	replyGrace   = 600 * time.Millisecond
-	reportEach   = 10 * time.Millisecond
-	savedEach    = 400 * time.Millisecond
-	retryAfter   = 100 * time.Millisecond
-	rotateAfter  = 60 * time.Millisecond
-	rotateMax    = 300 * time.Millisecond
-	bouncesMax   = 5
-	paceMost     = 200 * time.Millisecond // between two reports at the core's wish
-	putOffMost   = time.Second            // until a report that the core put off
-	driftPercent = 3
-	driftMore    = 100 * time.Millisecond
-	goneMax      = 64
-	jitterStream = 1
+	defaultReportWait   = 500 * time.Millisecond
+	defaultCallInterval = 100 * time.Millisecond
+	defaultCallTimeout  = time.Second
+
+	replyTimeout         = 2 * time.Second
+	handOverTimeout      = 1500 * time.Millisecond
+	replyGrace           = 600 * time.Millisecond
+	minReportInterval    = 10 * time.Millisecond
+	progressInterval     = 400 * time.Millisecond
+	retryDelay           = 100 * time.Millisecond
+	minRedirectDelay     = 60 * time.Millisecond
+	maxRedirectDelay     = 300 * time.Millisecond
+	rejectionsPerReplica = 5
+	maxReportInterval    = 200 * time.Millisecond // between two reports at the core's wish
+	maxDeferral          = time.Second            // until a report that the core put off
+	clockDriftPercent    = 3
+	clockDriftMargin     = 100 * time.Millisecond
+	maxDepartedNames     = 64
+	jitterStream         = 1
 )
 
 // Counters count since the process began. Dropped are starts that were taken
 // and never became a run.
 type Counters struct {
-	Reports, Calls, Begins, Stops, Dropped uint64
+	Reports, Calls, Starts, Stops, DroppedStarts uint64
 }
 
 // Status is for a status page; times are on the agent's own clock.
 type Status struct {
-	Worker    string
-	Primary   string
-	Number    uint64
-	CalledAt  time.Duration
-	RepliedAt time.Duration
-	LeaseEnd  time.Duration
-	Fence     uint64
-	Running   int
-	Taken     int
-	Unacked   int
-	Departing int
-	Counters  Counters
+	Worker             string
+	Primary            string
+	ReportNumber       uint64
+	LastCallAt         time.Duration
+	LastReplyAt        time.Duration
+	LeaseExpiry        time.Duration
+	FencingEpoch       uint64
+	Running            int
+	PendingStarts      int
+	UnacknowledgedEnds int
+	Departing          int
+	Counters           Counters
 }
 
 // Agent keeps the worker that calls and those before it that the core has not
 // yet been told are gone.
 type Agent struct {
-	env       Env
-	counters  Counters
-	id        uint64
-	worker    *worker
-	departing []*worker
-	gone      []string
-	left      Call // the last of a worker that was forgotten
-
-	keepers   []string
-	target    string
-	primary   string
-	bounces   int
-	fence     uint64
-	lease     time.Duration
-	repliedAt time.Duration
-	replied   bool
-	wakeAt    time.Duration
+	config        Config
+	counters      Counters
+	lastReportID  uint64
+	worker        *worker
+	departing     []*worker
+	departedNames []string
+	lastDeparted  Call // the last of a worker that was forgotten
+
+	replicas      []string
+	target        string
+	primary       string
+	rejections    int
+	fencingEpoch  uint64
+	leaseDuration time.Duration
+	lastReplyAt   time.Duration
+	replied       bool
+	nextTimer     time.Duration
 	// pace is the time between two reports that the core asks for.
-	pace   time.Duration
-	chance *rand.Rand
+	reportInterval time.Duration
+	rng            *rand.Rand
 }
 
-func New(env Env) *Agent {
-	if env.Hold <= 0 {
-		env.Hold = holdDefault
+func New(config Config) *Agent {
+	if config.ReportWait <= 0 {
+		config.ReportWait = defaultReportWait
 	}
-	if env.Again <= 0 {
-		env.Again = againDefault
+	if config.CallInterval <= 0 {
+		config.CallInterval = defaultCallInterval
 	}
-	if env.Silent <= 0 {
-		env.Silent = silentDefault
+	if config.CallTimeout <= 0 {
+		config.CallTimeout = defaultCallTimeout
 	}
-	a := &Agent{env: env, id: env.First, chance: rand.New(rand.NewPCG(env.First, jitterStream))}
-	if len(env.Keepers) > 0 {
-		a.target = env.Keepers[0]
+	a := &Agent{config: config, lastReportID: config.FirstReportID, rng: rand.New(rand.NewPCG(config.FirstReportID, jitterStream))}
+	if len(config.Replicas) > 0 {
+		a.target = config.Replicas[0]
 	}
 	return a
 }
 
-func (a *Agent) Wakeup() time.Duration { return a.wakeAt }
-func (a *Agent) Counters() Counters    { return a.counters }
+func (a *Agent) NextTimer() time.Duration { return a.nextTimer }
+func (a *Agent) Counters() Counters       { return a.counters }
 
 // Ready says whether the core hears this agent.
 func (a *Agent) Ready(now time.Duration) bool {
-	return a.counters.Calls == 0 || a.replied && now-a.repliedAt <= replyWithin
+	return a.counters.Calls == 0 || a.replied && now-a.lastReplyAt <= replyTimeout
 }
 
 func (a *Agent) Status() Status {
-	s := Status{Primary: a.primary, RepliedAt: a.repliedAt, Fence: a.fence, Departing: len(a.departing), Counters: a.counters}
+	s := Status{Primary: a.primary, LastReplyAt: a.lastReplyAt, FencingEpoch: a.fencingEpoch, Departing: len(a.departing), Counters: a.counters}
 	if w := a.worker; w != nil {
-		s.Worker, s.Number, s.CalledAt, s.LeaseEnd = w.call.Worker, w.number, w.calledAt, w.leaseEnd
-		s.Running, s.Taken, s.Unacked = len(w.running()), len(w.taken), len(w.ends)+len(w.own)
+		s.Worker, s.ReportNumber, s.LastCallAt, s.LeaseExpiry = w.lastCall.Worker, w.reportNumber, w.lastCallAt, w.leaseExpiry
+		s.Running, s.PendingStarts, s.UnacknowledgedEnds = len(w.running()), len(w.pendingStarts), len(w.unacknowledgedEnds)+len(w.agentEnds)
 	}
 	return s
 }
@@ -137,22 +137,22 @@
 	case in.Stop:
 		out.Stopped = true
 		return out
-	case in.Ask.Key > 0:
-		a.ask(now, in.Ask, &out)
-	case in.Line.Kind == wire.BeatBack:
-		var b wire.BeatBackBody
-		if err := machine.Unmarshal(in.Line.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Line.Kind, "from", in.Line.From, "why", err.Error())
+	case in.Request.ID > 0:
+		a.handleRequest(now, in.Request, &out)
+	case in.Message.Kind == wire.KindHeartbeatReply:
+		var b wire.HeartbeatReply
+		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
+			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
 			break
 		}
-		a.reply(now, b, &out)
-	case in.Line.Kind != "":
-		out.Log("line_unknown", "kind", in.Line.Kind, "from", in.Line.From)
+		a.handleReply(now, b, &out)
+	case in.Message.Kind != "":
+		out.Log("line_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 	}
-	a.wakeAt = 0
+	a.nextTimer = 0
 	for _, w := range a.workers() {
-		a.expire(now, w, &out)
-		a.report(now, w, &out)
+		a.withdrawExpiredStarts(now, w, &out)
+		a.reportIfDue(now, w, &out)
 	}
 	return out
 }
@@ -166,50 +166,50 @@
 }
 
 // wake asks to be stepped at a time that is still to come.
-func (a *Agent) wake(now, at time.Duration) {
-	if at = max(at, now+time.Millisecond); a.wakeAt == 0 || at < a.wakeAt {
-		a.wakeAt = at
+func (a *Agent) scheduleTimer(now, at time.Duration) {
+	if at = max(at, now+time.Millisecond); a.nextTimer == 0 || at < a.nextTimer {
+		a.nextTimer = at
 	}
 }
 
 // forget drops a worker that the core knows to be gone.
-func (a *Agent) forget(w *worker) {
+func (a *Agent) removeWorker(w *worker) {
 	a.departing = slices.DeleteFunc(a.departing, func(o *worker) bool { return o == w })
 	if a.worker == w {
-		a.worker, a.left = nil, w.call
+		a.worker, a.lastDeparted = nil, w.lastCall
 	}
 }
 
 // bury has a name answered without orders from now on: a late call of a worker
 // that is gone must not take the place of the one that calls now.
-func (a *Agent) bury(name string) {
-	if a.gone = append(a.gone, name); len(a.gone) > goneMax {
-		a.gone = a.gone[1:]
+func (a *Agent) rememberDeparted(name string) {
+	if a.departedNames = append(a.departedNames, name); len(a.departedNames) > maxDepartedNames {
+		a.departedNames = a.departedNames[1:]
 	}
 }
 
 // expire withdraws starts that may no longer be handed over.
-func (a *Agent) expire(now time.Duration, w *worker, out *machine.Output) {
-	w.taken = slices.DeleteFunc(w.taken, func(t *taken) bool {
-		why := w.refuses(now, t)
-		t.withdrawn = t.withdrawn || why != ""
-		if why == "" || t.handed {
+func (a *Agent) withdrawExpiredStarts(now time.Duration, w *worker, out *machine.Output) {
+	w.pendingStarts = slices.DeleteFunc(w.pendingStarts, func(start *pendingStart) bool {
+		reason := w.refusalReason(now, start)
+		start.withdrawn = start.withdrawn || reason != ""
+		if reason == "" || start.handedOver {
 			return false
 		}
-		a.drop(w, t.Attempt, why, out)
+		a.dropStart(w, start.Attempt, reason, out)
 		return true
 	})
-	for _, t := range w.taken {
-		if !t.withdrawn {
-			a.wake(now, min(t.until, w.leaseEnd))
+	for _, start := range w.pendingStarts {
+		if !start.withdrawn {
+			a.scheduleTimer(now, min(start.handOverBy, w.leaseExpiry))
 		}
 	}
 }
 
 // drop reports a start as lost that never became a run.
-func (a *Agent) drop(w *worker, at ledger.Attempt, why string, out *machine.Output) {
-	w.own = append(w.own, ledger.End{Attempt: at, Lost: true, Why: why})
+func (a *Agent) dropStart(w *worker, attempt ledger.Attempt, reason string, out *machine.Output) {
+	w.agentEnds = append(w.agentEnds, ledger.AttemptResult{Attempt: attempt, Lost: true, Reason: reason})
 	w.dirty = true
-	a.counters.Dropped++
-	out.Log("start_dropped", "worker", w.call.Worker, "attempt", at.String(), "why", why)
+	a.counters.DroppedStarts++
+	out.Log("start_dropped", "worker", w.lastCall.Worker, "attempt", attempt.String(), "why", reason)
 }
--- a/core/agent/contract.go
+++ b/core/agent/contract.go
@@ -12,31 +12,31 @@
 // The kinds of requests that an agent takes: a worker's call, with a Call as
 // value, answered with a Told; and its word that it is gone, with its name.
 const (
-	AskCall  = "call"
-	AskLeave = "leave"
+	RequestCall  = "call"
+	RequestLeave = "leave"
 )
 
 // How a run ended.
 const (
-	Good    = "good"
-	Failed  = "failed"
-	Stopped = "stopped"
-	Lost    = "lost" // through no fault of its own: lapsed, refused, or its gang broke
+	OutcomeSucceeded = "good"
+	OutcomeFailed    = "failed"
+	OutcomeStopped   = "stopped"
+	OutcomeLost      = "lost" // through no fault of its own: lapsed, refused, or its gang broke
 )
 
 // Run is one attempt that a worker runs.
 type Run struct {
 	ledger.Attempt
-	Saved   string
-	Percent int
+	Checkpoint string
+	Percent    int
 }
 
 // Ended is one end, by the worker's own count, which rises from 1 in each life.
-type Ended struct {
+type EndedRun struct {
 	Number uint64
 	Run
-	How string
-	Why string
+	Outcome string
+	Reason  string
 }
 
 // Call is all that a worker says of itself. Number rises with every call of a
@@ -46,33 +46,33 @@
 	Number  uint64
 	Address string
 	Service string
-	Site    string
+	Zone    string
 	Rack    string
 	Labels  []string
 	// Free is the room that the worker says it has. Some say what is left, others
 	// always all that they have: the most it has ever said counts as its total.
-	Free     ledger.Room
+	Free     ledger.Resources
 	Leaving  bool
 	LeavesIn time.Duration
 	Running  []Run
-	Ended    []Ended
+	Ended    []EndedRun
 }
 
 // Begin is an order to start one attempt.
-type Begin struct {
+type StartOrder struct {
 	ledger.Attempt
-	Payload []byte
-	Saved   string
+	Payload    []byte
+	Checkpoint string
 }
 
 // Told is the answer to a call. Hold is how long everything may run on, counted
 // from the sending of the call at the latest; Seen is the count up to which ends
 // may be forgotten; Fence never falls; Again is when to call next.
-type Told struct {
-	Hold   time.Duration
-	Begins []Begin
-	Stops  []ledger.Attempt
-	Seen   uint64
-	Fence  uint64
-	Again  time.Duration
+type CallReply struct {
+	LeaseRemaining   time.Duration
+	Starts           []StartOrder
+	Stops            []ledger.Attempt
+	AcknowledgedEnds uint64
+	FencingEpoch     uint64
+	NextCallIn       time.Duration
 }
--- a/core/agent/report.go
+++ b/core/agent/report.go
@@ -15,156 +15,158 @@
 
 // report is the one that is out. Ends are the numbers of the worker's ends in it.
 type report struct {
-	id     uint64
-	to     string
-	sentAt time.Duration
-	empty  bool
-	ends   []uint64
-	beat   ledger.Beat
+	id         uint64
+	target     string
+	sentAt     time.Duration
+	noRuns     bool
+	endNumbers []uint64
+	heartbeat  ledger.Heartbeat
 }
 
 // over says whether all that a worker ran has certainly ended.
-func (a *Agent) over(now time.Duration, w *worker) bool {
-	if w.dead || w.leaving && len(w.running()) == 0 {
+func (a *Agent) allRunsEnded(now time.Duration, w *worker) bool {
+	if w.replaced || w.leaving && len(w.running()) == 0 {
 		return true
 	}
-	end, known := a.holdEnd(w)
-	return known && now > end && (w.leaving || a.silent(now, w))
+	end, known := a.runDeadline(w)
+	return known && now > end && (w.leaving || a.callsTimedOut(now, w))
 }
 
-func (a *Agent) silent(now time.Duration, w *worker) bool { return now-w.calledAt > a.env.Silent }
+func (a *Agent) callsTimedOut(now time.Duration, w *worker) bool {
+	return now-w.lastCallAt > a.config.CallTimeout
+}
 
 // holdEnd is when the worker must have ended everything by itself. What ran
 // before its first call here may stand under a lease of an agent before this one.
-func (a *Agent) holdEnd(w *worker) (time.Duration, bool) {
-	if !w.inherited {
-		return w.holdEnd, true
+func (a *Agent) runDeadline(w *worker) (time.Duration, bool) {
+	if !w.inheritedRuns {
+		return w.grantedUntil, true
 	}
-	return max(w.holdEnd, drifted(w.firstAt, a.lease)), a.lease > 0
+	return max(w.grantedUntil, withClockDrift(w.firstCallAt, a.leaseDuration)), a.leaseDuration > 0
 }
 
-func drifted(from, hold time.Duration) time.Duration {
-	return from + hold + hold*driftPercent/100 + driftMore
+func withClockDrift(from, duration time.Duration) time.Duration {
+	return from + duration + duration*clockDriftPercent/100 + clockDriftMargin
 }
 
 // report sends the next report of a worker if it is time, and says when it will be.
-func (a *Agent) report(now time.Duration, w *worker, out *machine.Output) {
-	empty := a.over(now, w)
+func (a *Agent) reportIfDue(now time.Duration, w *worker, out *machine.Output) {
+	noRuns := a.allRunsEnded(now, w)
 	switch {
-	case empty && w.emptied || w == a.worker && slices.ContainsFunc(a.departing, func(o *worker) bool { return o.dead }):
-		w.out = nil
+	case noRuns && w.endAcknowledged || w == a.worker && slices.ContainsFunc(a.departing, func(o *worker) bool { return o.replaced }):
+		w.inFlight = nil
 		return
-	case empty:
-		a.empty(w, out)
-	case a.silent(now, w):
-		if w.out != nil {
-			out.Log("worker_silent", "worker", w.call.Worker)
+	case noRuns:
+		a.clearOrders(w, out)
+	case a.callsTimedOut(now, w):
+		if w.inFlight != nil {
+			out.Log("worker_silent", "worker", w.lastCall.Worker)
 		}
-		w.out = nil
-		if end, known := a.holdEnd(w); known {
-			a.wake(now, end+time.Millisecond)
+		w.inFlight = nil
+		if end, known := a.runDeadline(w); known {
+			a.scheduleTimer(now, end+time.Millisecond)
 		}
 		return
 	default:
-		a.wake(now, w.calledAt+a.env.Silent+time.Millisecond)
-		if end, known := a.holdEnd(w); w.leaving && known {
-			a.wake(now, end+time.Millisecond)
+		a.scheduleTimer(now, w.lastCallAt+a.config.CallTimeout+time.Millisecond)
+		if end, known := a.runDeadline(w); w.leaving && known {
+			a.scheduleTimer(now, end+time.Millisecond)
 		}
 	}
-	if w.out != nil && w.out.empty != empty {
-		w.out = nil
+	if w.inFlight != nil && w.inFlight.noRuns != noRuns {
+		w.inFlight = nil
 	}
-	at := w.pauseUntil
-	if w.number > 0 {
-		at = max(at, w.sentAt+max(reportEach, a.pace))
+	dueAt := w.backoffUntil
+	if w.reportNumber > 0 {
+		dueAt = max(dueAt, w.lastReportAt+max(minReportInterval, a.reportInterval))
 	}
 	lost := false
-	if w.out != nil {
+	if w.inFlight != nil {
 		// A report that replaces another waits no longer than the first would have.
-		deadline := w.waitSince + a.env.Hold + replyGrace
-		replaced := deadline
+		deadline := w.waitSince + a.config.ReportWait + replyGrace
+		replaceAt := deadline
 		if w.dirty {
-			replaced = at
-		} else if w.savedNew() {
-			replaced = w.sentAt + savedEach
+			replaceAt = dueAt
+		} else if w.hasNewCheckpoint() {
+			replaceAt = w.lastReportAt + progressInterval
 		}
-		if max(replaced, now) >= w.waitSince+a.env.Hold {
-			replaced = deadline
+		if max(replaceAt, now) >= w.waitSince+a.config.ReportWait {
+			replaceAt = deadline
 		}
 		lost = now >= deadline
-		at = max(at, min(replaced, deadline))
+		dueAt = max(dueAt, min(replaceAt, deadline))
 	}
-	if now < at {
-		a.wake(now, at)
+	if now < dueAt {
+		a.scheduleTimer(now, dueAt)
 		return
 	}
-	if lost && w.out.to == a.target {
-		a.rotate()
+	if lost && w.inFlight.target == a.target {
+		a.selectNextReplica()
 	}
 	if a.target == "" {
 		return
 	}
-	a.send(now, w, empty, lost, out)
-	a.wake(now, w.waitSince+a.env.Hold+replyGrace)
+	a.sendReport(now, w, noRuns, lost, out)
+	a.scheduleTimer(now, w.waitSince+a.config.ReportWait+replyGrace)
 }
 
 // empty clears what was handed over to a worker that runs nothing any more; what
 // was not is lost.
-func (a *Agent) empty(w *worker, out *machine.Output) {
-	if !w.said {
-		w.said = true
-		out.Log("worker_lost", "worker", w.call.Worker, "running", len(w.running()))
+func (a *Agent) clearOrders(w *worker, out *machine.Output) {
+	if !w.lossLogged {
+		w.lossLogged = true
+		out.Log("worker_lost", "worker", w.lastCall.Worker, "running", len(w.running()))
 	}
-	for _, t := range w.taken {
-		if !t.handed {
-			a.drop(w, t.Attempt, "the worker is silent", out)
+	for _, start := range w.pendingStarts {
+		if !start.handedOver {
+			a.dropStart(w, start.Attempt, "the worker is silent", out)
 		}
 	}
-	w.taken, w.stops = nil, nil
+	w.pendingStarts, w.stops = nil, nil
 }
 
-func (a *Agent) send(now time.Duration, w *worker, empty, lost bool, out *machine.Output) {
-	if w.out == nil || lost {
+func (a *Agent) sendReport(now time.Duration, w *worker, noRuns, lost bool, out *machine.Output) {
+	if w.inFlight == nil || lost {
 		w.waitSince = now
 	}
-	a.id++
-	w.number++
+	a.lastReportID++
+	w.reportNumber++
 	a.counters.Reports++
-	w.sentAt, w.dirty = now, false
-	w.out = &report{id: a.id, to: a.target, sentAt: now, empty: empty, ends: slices.Sorted(maps.Keys(w.ends)), beat: a.beat(w, empty)}
-	out.Send(a.target, wire.Beat, wire.BeatBody{ID: a.id, Hold: max(0, w.waitSince+a.env.Hold-now), Beat: w.out.beat})
+	w.lastReportAt, w.dirty = now, false
+	w.inFlight = &report{id: a.lastReportID, target: a.target, sentAt: now, noRuns: noRuns, endNumbers: slices.Sorted(maps.Keys(w.unacknowledgedEnds)), heartbeat: a.buildHeartbeat(w, noRuns)}
+	out.Send(a.target, wire.KindHeartbeat, wire.HeartbeatRequest{ID: a.lastReportID, MaxWait: max(0, w.waitSince+a.config.ReportWait-now), Heartbeat: w.inFlight.heartbeat})
 }
 
-func (a *Agent) beat(w *worker, empty bool) ledger.Beat {
-	c := w.call
-	b := ledger.Beat{Worker: c.Worker, Incarnation: 1, Number: w.number, Site: c.Site, Rack: c.Rack, Service: c.Service,
-		Labels: c.Labels, Address: c.Address, Leaving: c.Leaving || w.leaving, LeavesIn: c.LeavesIn}
-	if b.Site == "" {
-		b.Site = a.env.Site
+func (a *Agent) buildHeartbeat(w *worker, noRuns bool) ledger.Heartbeat {
+	call := w.lastCall
+	heartbeat := ledger.Heartbeat{Worker: call.Worker, Incarnation: 1, Number: w.reportNumber, Zone: call.Zone, Rack: call.Rack, Service: call.Service,
+		Labels: call.Labels, Address: call.Address, Leaving: call.Leaving || w.leaving, LeavesIn: call.LeavesIn}
+	if heartbeat.Zone == "" {
+		heartbeat.Zone = a.config.Zone
 	}
-	for _, n := range slices.Sorted(maps.Keys(w.ends)) {
-		b.Ended = append(b.Ended, w.ends[n])
+	for _, n := range slices.Sorted(maps.Keys(w.unacknowledgedEnds)) {
+		heartbeat.Ended = append(heartbeat.Ended, w.unacknowledgedEnds[n])
 	}
-	b.Ended = append(b.Ended, w.own...)
-	if empty {
-		return b
+	heartbeat.Ended = append(heartbeat.Ended, w.agentEnds...)
+	if noRuns {
+		return heartbeat
 	}
-	b.Running, b.Progress = w.running(), w.progress()
-	b.Free, b.Total = w.free(), w.total
-	return b
+	heartbeat.Running, heartbeat.Progress = w.running(), w.progress()
+	heartbeat.Free, heartbeat.Total = w.freeResources(), w.capacity
+	return heartbeat
 }
 
 // rotate goes on to the next keeper that is known.
-func (a *Agent) rotate() {
-	all := a.known()
+func (a *Agent) selectNextReplica() {
+	all := a.knownReplicas()
 	if len(all) > 0 {
 		a.target = all[(slices.Index(all, a.target)+1)%len(all)]
 	}
 }
 
-func (a *Agent) known() []string {
-	all := slices.Clone(a.keepers)
-	for _, k := range a.env.Keepers {
+func (a *Agent) knownReplicas() []string {
+	all := slices.Clone(a.replicas)
+	for _, k := range a.config.Replicas {
 		if !slices.Contains(all, k) {
 			all = append(all, k)
 		}
@@ -173,116 +175,116 @@
 }
 
 // reply takes the core's answer to the report that is out; any other is dropped.
-func (a *Agent) reply(now time.Duration, b wire.BeatBackBody, out *machine.Output) {
+func (a *Agent) handleReply(now time.Duration, reply wire.HeartbeatReply, out *machine.Output) {
 	all := a.workers()
-	i := slices.IndexFunc(all, func(w *worker) bool { return w.out != nil && w.out.id == b.ID })
-	if i < 0 || now-all[i].out.sentAt > replyWithin {
+	i := slices.IndexFunc(all, func(w *worker) bool { return w.inFlight != nil && w.inFlight.id == reply.ID })
+	if i < 0 || now-all[i].inFlight.sentAt > replyTimeout {
 		return
 	}
 	w := all[i]
-	r := *w.out
-	w.out = nil
-	if len(b.Keepers) > 0 {
-		a.keepers = slices.Clone(b.Keepers)
+	sent := *w.inFlight
+	w.inFlight = nil
+	if len(reply.Replicas) > 0 {
+		a.replicas = slices.Clone(reply.Replicas)
 	}
-	if !b.Answer.Code.Good() {
-		a.bounced(now, w, r, b, out)
+	if !reply.Result.Code.IsSuccess() {
+		a.handleRejection(now, w, sent, reply, out)
 		return
 	}
-	if a.primary != r.to {
-		out.Log("primary_changed", "to", r.to, "from", a.primary)
-		a.primary = r.to
+	if a.primary != sent.target {
+		out.Log("primary_changed", "to", sent.target, "from", a.primary)
+		a.primary = sent.target
 	}
-	a.replied, a.repliedAt, a.bounces = true, now, 0
-	a.pace = min(b.Answer.RetryAfter, paceMost)
-	orders := b.Answer.Orders
-	a.fence = max(a.fence, orders.Epoch)
-	a.lease = max(a.lease, orders.Lease)
-	w.leaseEnd = max(w.leaseEnd, r.sentAt+orders.Lease)
-	w.acked(r, orders.Acks)
-	for _, at := range orders.Stops {
-		a.stop(w, at, out)
+	a.replied, a.lastReplyAt, a.rejections = true, now, 0
+	a.reportInterval = min(reply.Result.RetryAfter, maxReportInterval)
+	orders := reply.Result.Heartbeat
+	a.fencingEpoch = max(a.fencingEpoch, orders.Epoch)
+	a.leaseDuration = max(a.leaseDuration, orders.LeaseDuration)
+	w.leaseExpiry = max(w.leaseExpiry, sent.sentAt+orders.LeaseDuration)
+	w.acknowledge(sent, orders.Acks)
+	for _, attempt := range orders.Stops {
+		a.handleStop(w, attempt, out)
 	}
 	refused := false
-	for _, s := range orders.Starts {
+	for _, start := range orders.Starts {
 		switch {
-		case w.knows(s.Attempt):
-		case r.empty || w.call.Leaving || w.leaving:
-			a.drop(w, s.Attempt, "the worker leaves or is silent", out)
+		case w.knows(start.Attempt):
+		case sent.noRuns || w.lastCall.Leaving || w.leaving:
+			a.dropStart(w, start.Attempt, "the worker leaves or is silent", out)
 			refused = true
 		default:
-			w.taken = append(w.taken, &taken{Start: s, until: min(now+handWithin, r.sentAt+replyWithin)})
-			w.saved[s.Attempt] = s.Saved
+			w.pendingStarts = append(w.pendingStarts, &pendingStart{StartOrder: start, handOverBy: min(now+handOverTimeout, sent.sentAt+replyTimeout)})
+			w.acknowledgedCheckpoints[start.Attempt] = start.Checkpoint
 		}
 	}
-	if r.empty && !refused && a.over(now, w) {
-		w.emptied = true
-		if w.dead || w.leaving {
-			a.forget(w)
+	if sent.noRuns && !refused && a.allRunsEnded(now, w) {
+		w.endAcknowledged = true
+		if w.replaced || w.leaving {
+			a.removeWorker(w)
 		}
 	}
 }
 
 // bounced finds the keeper that leads, or the number that comes next, or waits
 // for as long as a keeper asks that has too much to do.
-func (a *Agent) bounced(now time.Duration, w *worker, r report, b wire.BeatBackBody, out *machine.Output) {
-	c := b.Answer.Code
-	if c == code.InboxFull && b.Answer.RetryAfter > 0 {
-		a.replied, a.repliedAt = true, now
-		w.leaseEnd = max(w.leaseEnd, r.sentAt+b.Answer.Orders.Lease)
-		w.pauseUntil, w.dirty = now+min(b.Answer.RetryAfter, putOffMost), true
+func (a *Agent) handleRejection(now time.Duration, w *worker, sent report, reply wire.HeartbeatReply, out *machine.Output) {
+	c := reply.Result.Code
+	if c == code.QueueFull && reply.Result.RetryAfter > 0 {
+		a.replied, a.lastReplyAt = true, now
+		w.leaseExpiry = max(w.leaseExpiry, sent.sentAt+reply.Result.Heartbeat.LeaseDuration)
+		w.backoffUntil, w.dirty = now+min(reply.Result.RetryAfter, maxDeferral), true
 		return
 	}
-	a.bounces++
+	a.rejections++
 	switch {
-	case c == code.StaleBeat && b.Answer.Orders.Number > 0:
-		w.number = max(w.number, b.Answer.Orders.Number)
+	case c == code.StaleHeartbeat && reply.Result.Heartbeat.HeartbeatNumber > 0:
+		w.reportNumber = max(w.reportNumber, reply.Result.Heartbeat.HeartbeatNumber)
 		return
-	case c == code.StaleBeat, (c == code.StaleEpoch || c == code.NoAuthority) && a.bounces%bouncesMax > 0:
-		w.pauseUntil = now + a.jittered(retryAfter)
+	case c == code.StaleHeartbeat, (c == code.StaleEpoch || c == code.ReplicasUnavailable) && a.rejections%rejectionsPerReplica > 0:
+		w.backoffUntil = now + a.withJitter(retryDelay)
 		return
-	case c == code.Malformed && r.empty && (w.dead || w.leaving):
-		out.Log("worker_forgotten", "worker", w.call.Worker, "why", b.Answer.Why)
-		a.forget(w)
+	case c == code.Malformed && sent.noRuns && (w.replaced || w.leaving):
+		out.Log("worker_forgotten", "worker", w.lastCall.Worker, "why", reply.Result.Reason)
+		a.removeWorker(w)
 		return
 	}
-	w.pauseUntil = now + a.jittered(min(rotateAfter<<min(a.bounces-1, 4), rotateMax))
+	w.backoffUntil = now + a.withJitter(min(minRedirectDelay<<min(a.rejections-1, 4), maxRedirectDelay))
 	switch {
-	case r.to != a.target:
-	case b.Primary != "" && b.Primary != r.to:
-		a.target = b.Primary
-		if a.bounces == 1 {
-			w.pauseUntil = now
+	case sent.target != a.target:
+	case reply.Primary != "" && reply.Primary != sent.target:
+		a.target = reply.Primary
+		if a.rejections == 1 {
+			w.backoffUntil = now
 		}
 	default:
-		a.rotate()
+		a.selectNextReplica()
 	}
 }
 
 // jittered is a pause of up to half as long again from the second bounce in a row
 // on, so that agents that lose the primary together do not come back together.
-func (a *Agent) jittered(pause time.Duration) time.Duration {
-	if a.bounces <= 1 {
+func (a *Agent) withJitter(pause time.Duration) time.Duration {
+	if a.rejections <= 1 {
 		return pause
 	}
-	return pause + time.Duration(a.chance.Int64N(int64(pause/2)))
+	return pause + time.Duration(a.rng.Int64N(int64(pause/2)))
 }
 
 // stop passes the core's word on, or takes a start back that was not handed over.
-func (a *Agent) stop(w *worker, at ledger.Attempt, out *machine.Output) {
-	if i := slices.IndexFunc(w.taken, func(t *taken) bool { return t.Attempt == at }); i >= 0 {
-		t := w.taken[i]
-		t.withdrawn = true
-		if !t.handed {
-			w.taken = slices.Delete(w.taken, i, i+1)
-			a.drop(w, at, "stopped before it was handed over", out)
+func (a *Agent) handleStop(w *worker, attempt ledger.Attempt, out *machine.Output) {
+	if i := slices.IndexFunc(w.pendingStarts, func(start *pendingStart) bool { return start.Attempt == attempt }); i >= 0 {
+		start := w.pendingStarts[i]
+		start.withdrawn = true
+		if !start.handedOver {
+			w.pendingStarts = slices.Delete(w.pendingStarts, i, i+1)
+			a.dropStart(w, attempt, "stopped before it was handed over", out)
 			return
 		}
-	} else if !slices.Contains(w.running(), at) {
+	} else if !slices.Contains(w.running(), attempt) {
 		return
 	}
-	if !slices.Contains(w.stops, at) {
-		w.stops = append(w.stops, at)
+	if !slices.Contains(w.stops, attempt) {
+		w.stops = append(w.stops, attempt)
 		a.counters.Stops++
 	}
 }
--- a/core/center/bound_test.go
+++ b/core/center/bound_test.go
@@ -11,19 +11,19 @@
 // TestTheStepsOfANewLeaderAreBounded has 20,000 tasks wait, and room for 600 of
 // them, when the lead changes: no step takes more than a slice of the one or starts
 // more than a part of the other, and all of it is done soon.
-func TestTheStepsOfANewLeaderAreBounded(t *testing.T) {
+func TestStepsOfANewLeaderAreBounded(t *testing.T) {
 	const jobs, width, workers, startsEach = 20, 1000, 60, 10
 	const sliceMost, commandsMost = 2 * 8192, 64 + 32 + 4
 	n := newNet(t)
-	n.ready()
+	n.configure()
 	for i := range jobs {
-		n.job(fmt.Sprintf("j%d", i), width)
+		n.submitJob(fmt.Sprintf("j%d", i), width)
 	}
 	var mostCommands, mostReleases uint64
-	sequences, releases := map[*Center]uint64{}, map[*Center]uint64{}
-	n.watch = func(c *Center) {
-		at, released := c.Keeper().Ledger().Position().Sequence, c.Scheduler().Counters().Releases
-		if c.Keeper().Serving() {
+	sequences, releases := map[*Control]uint64{}, map[*Control]uint64{}
+	n.onStep = func(c *Control) {
+		at, released := c.Replica().Store().Position().Index, c.Scheduler().Counters().Releases
+		if c.Replica().Serving() {
 			mostCommands, mostReleases = max(mostCommands, at-sequences[c]), max(mostReleases, released-releases[c])
 		}
 		sequences[c], releases[c] = at, released
@@ -31,14 +31,14 @@
 	n.run(5 * time.Millisecond)
 	mostCommands, mostReleases = 0, 0
 	n.kill(n.leader())
-	for !n.serves() {
+	for !n.anyServes() {
 		n.run(5 * time.Millisecond)
 	}
 	report := func(number uint64) {
 		for i := range workers {
-			b := beatOf(number)
+			b := heartbeatOf(number)
 			b.Worker = fmt.Sprintf("w%03d", i)
-			n.send(n.leader(), testHold, b)
+			n.sendHeartbeat(n.leader(), testReplyWait, b)
 		}
 		n.run(100 * time.Millisecond)
 	}
@@ -46,13 +46,13 @@
 	report(1)
 	report(2)
 	n.run(2 * time.Second)
-	l := n.nodes[n.leader()].center.Keeper().Ledger()
+	l := n.nodes[n.leader()].control.Replica().Store()
 	granted := 0
 	for i := range workers {
-		granted += l.CountOn(fmt.Sprintf("w%03d", i))
+		granted += l.LeaseCount(fmt.Sprintf("w%03d", i))
 	}
 	waits := 0
-	for _, count := range n.nodes[n.leader()].center.Scheduler().Inboxes() {
+	for _, count := range n.nodes[n.leader()].control.Scheduler().QueueLengths() {
 		waits += count
 	}
 	t.Logf("at most %d commands and %d tasks in a step", mostCommands, mostReleases)
@@ -63,7 +63,7 @@
 	if granted != workers*startsEach || waits != jobs*width-granted {
 		t.Errorf("%d tasks are granted, %d wait", granted, waits)
 	}
-	if w, _ := l.Worker("w000"); w.Free != (ledger.Room{Slots: 100}) {
+	if w, _ := l.Worker("w000"); w.Free != (ledger.Resources{Slots: 100}) {
 		t.Errorf("%+v", w)
 	}
 }
--- a/core/center/center.go
+++ b/core/center/center.go
@@ -17,128 +17,132 @@
 	"sorrelloom/core/wire"
 )
 
-type Env struct {
+type Config struct {
 	Address  string
-	Site     string
+	Zone     string
 	Founders []string
-	FreshID  string
-	Boot     uint64
+	NewID    string
+	BootID   uint64
 	// Copies is how many backups the keeper's view shall have.
-	Copies int
+	BackupCount int
 }
 
-type Center struct {
-	env       Env
-	keeper    *keeper.Keeper
+type Control struct {
+	config    Config
+	replica   *keeper.Replica
 	scheduler *scheduler.Scheduler
-	own       own
+	access    localState
 	// term is the keeper's count of terms that the dispatcher works in; 0 is none.
 	term uint64
 	// beats wait while the keeper is about to serve.
-	beats []machine.Line
+	queuedHeartbeats []machine.Message
 }
 
 // beatsMax is how many reports wait for the keeper to serve.
-const beatsMax = 1024
+const maxQueuedHeartbeats = 1024
 
 // own is the keeper's ledger as the dispatcher's authority.
-type own struct {
-	keeper *keeper.Keeper
-	next   uint64
+type localState struct {
+	replica       *keeper.Replica
+	lastRequestID uint64
 }
 
-func (o *own) View() *ledger.Ledger  { return o.keeper.Ledger() }
-func (o *own) Own() bool             { return true }
-func (o *own) Leave(*machine.Output) {}
-func (o *own) Loaded() bool          { return o.keeper.Serving() }
+func (o *localState) State() *ledger.Store { return o.replica.Store() }
+func (o *localState) IsLocal() bool        { return true }
+func (o *localState) Stop(*machine.Output) {}
+func (o *localState) Loaded() bool         { return o.replica.Serving() }
 
-func (o *own) Proven(now time.Duration) bool        { return o.keeper.Proven(now) }
-func (o *own) Time(now time.Duration) time.Duration { return o.keeper.Time(now) }
+func (o *localState) LeadershipConfirmed(now time.Duration) bool {
+	return o.replica.LeadershipConfirmed(now)
+}
+func (o *localState) Time(now time.Duration) time.Duration { return o.replica.Time(now) }
 
-func (o *own) Fresh(now time.Duration) bool { return o.keeper.Proven(now) && !o.keeper.Behind() }
+func (o *localState) Fresh(now time.Duration) bool {
+	return o.replica.LeadershipConfirmed(now) && !o.replica.Backlogged()
+}
 
-func (o *own) Submit(now time.Duration, cmd ledger.Command, _ time.Duration, out *machine.Output) uint64 {
-	o.next++
-	o.keeper.Command(now, o.next, cmd, out)
-	return o.next
+func (o *localState) Submit(now time.Duration, cmd ledger.Command, _ time.Duration, out *machine.Output) uint64 {
+	o.lastRequestID++
+	o.replica.Submit(now, o.lastRequestID, cmd, out)
+	return o.lastRequestID
 }
 
-func (o *own) Line(time.Duration, machine.Line, *machine.Output) ([]follow.Result, bool) {
+func (o *localState) Receive(time.Duration, machine.Message, *machine.Output) ([]follow.CommandResult, bool) {
 	return nil, false
 }
 
-func (o *own) Wake(time.Duration, *machine.Output) []follow.Result {
-	var out []follow.Result
-	for _, b := range o.keeper.TakeOwn() {
-		out = append(out, follow.Result{ID: b.ID, At: b.At, Answer: b.Answer})
+func (o *localState) HandleTimers(time.Duration, *machine.Output) []follow.CommandResult {
+	var out []follow.CommandResult
+	for _, b := range o.replica.TakeLocalReplies() {
+		out = append(out, follow.CommandResult{ID: b.ID, AppliedIndex: b.AppliedIndex, Result: b.Result})
 	}
 	return out
 }
 
 // New rebuilds a center from what its keeper has stored.
-func New(env Env, stored machine.Stored) (*Center, error) {
-	k, err := keeper.New(keeper.Env{
-		Address: env.Address, Site: env.Site, Founders: env.Founders, FreshID: env.FreshID, Boot: env.Boot,
-		Copies: env.Copies, Dispatches: true,
+func New(config Config, stored machine.StoredState) (*Control, error) {
+	newReplica, err := keeper.New(keeper.Config{
+		Address: config.Address, Zone: config.Zone, Founders: config.Founders, NewID: config.NewID, BootID: config.BootID,
+		BackupCount: config.BackupCount, HasDispatcher: true,
 	}, stored)
 	if err != nil {
 		return nil, err
 	}
-	c := &Center{env: env, keeper: k}
-	c.own = own{keeper: k}
-	c.scheduler = scheduler.NewWith(scheduler.Env{Address: env.Address, Site: env.Site, First: env.Boot}, &c.own)
+	c := &Control{config: config, replica: newReplica}
+	c.access = localState{replica: newReplica}
+	c.scheduler = scheduler.NewWith(scheduler.Config{Address: config.Address, Zone: config.Zone, FirstCommandID: config.BootID}, &c.access)
 	return c, nil
 }
 
-func (c *Center) ID() string             { return c.keeper.ID() }
-func (c *Center) Keeper() *keeper.Keeper { return c.keeper }
+func (c *Control) ID() string               { return c.replica.ID() }
+func (c *Control) Replica() *keeper.Replica { return c.replica }
 
 // Scheduler gives the dispatcher, for its counters.
-func (c *Center) Scheduler() *scheduler.Scheduler { return c.scheduler }
+func (c *Control) Scheduler() *scheduler.Scheduler { return c.scheduler }
 
-func (c *Center) Wakeup() time.Duration {
-	if at := c.scheduler.Wakeup(); c.term > 0 && c.keeper.Serving() && at > 0 {
-		return min(at, c.keeper.Wakeup())
+func (c *Control) NextTimer() time.Duration {
+	if at := c.scheduler.NextTimer(); c.term > 0 && c.replica.Serving() && at > 0 {
+		return min(at, c.replica.NextTimer())
 	}
-	return c.keeper.Wakeup()
+	return c.replica.NextTimer()
 }
 
 // Step gives the input to the keeper or the dispatcher, then lets the other see
 // what came of it, and the keeper send and write all that was asked for.
-func (c *Center) Step(now time.Duration, in machine.Input) machine.Output {
+func (c *Control) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	beat := in.Line.Kind == wire.Beat
-	if !beat {
-		out = c.keeper.Step(now, in)
+	isHeartbeat := in.Message.Kind == wire.KindHeartbeat
+	if !isHeartbeat {
+		out = c.replica.Step(now, in)
 	}
-	c.follow()
+	c.followTerm()
 	switch {
-	case c.keeper.Serving():
+	case c.replica.Serving():
 		passed := in
-		if !beat {
+		if !isHeartbeat {
 			passed = machine.Input{}
 		}
-		for _, line := range c.takeBeats() {
-			c.dispatch(now, machine.Input{Line: line}, &out)
+		for _, message := range c.takeQueuedHeartbeats() {
+			c.stepScheduler(now, machine.Input{Message: message}, &out)
 		}
-		c.dispatch(now, passed, &out)
-		for c.keeper.HasOwn() {
-			c.dispatch(now, machine.Input{}, &out)
+		c.stepScheduler(now, passed, &out)
+		for c.replica.HasLocalReplies() {
+			c.stepScheduler(now, machine.Input{}, &out)
 		}
-	case beat && c.keeper.Starting() && len(c.beats) < beatsMax:
-		c.beats = append(c.beats, in.Line)
-	case c.keeper.Starting():
-		if beat {
-			c.bounce(in.Line, &out)
+	case isHeartbeat && c.replica.Starting() && len(c.queuedHeartbeats) < maxQueuedHeartbeats:
+		c.queuedHeartbeats = append(c.queuedHeartbeats, in.Message)
+	case c.replica.Starting():
+		if isHeartbeat {
+			c.rejectHeartbeat(in.Message, &out)
 		}
 	default:
-		c.keeper.TakeOwn()
-		c.keeper.Ledger().TakeChanges()
-		for _, line := range c.takeBeats() {
-			c.bounce(line, &out)
+		c.replica.TakeLocalReplies()
+		c.replica.Store().TakeChanges()
+		for _, message := range c.takeQueuedHeartbeats() {
+			c.rejectHeartbeat(message, &out)
 		}
-		if beat {
-			c.bounce(in.Line, &out)
+		if isHeartbeat {
+			c.rejectHeartbeat(in.Message, &out)
 		}
 	}
 	return out
@@ -146,49 +150,49 @@
 
 // follow has the dispatcher forget everything when a term of the keeper begins or
 // ends. A keeper that keeps the lead through a change of view stays in its term.
-func (c *Center) follow() {
+func (c *Control) followTerm() {
 	term := uint64(0)
-	if c.keeper.Serving() || c.keeper.Resuming() {
-		term = c.keeper.Terms()
+	if c.replica.Serving() || c.replica.Resuming() {
+		term = c.replica.Terms()
 	}
 	if term != c.term {
 		c.term = term
-		c.scheduler.Drop()
+		c.scheduler.Reset()
 	}
 }
 
-func (c *Center) takeBeats() []machine.Line {
-	lines := c.beats
-	c.beats = nil
+func (c *Control) takeQueuedHeartbeats() []machine.Message {
+	lines := c.queuedHeartbeats
+	c.queuedHeartbeats = nil
 	return lines
 }
 
-func (c *Center) dispatch(now time.Duration, in machine.Input, out *machine.Output) {
+func (c *Control) stepScheduler(now time.Duration, in machine.Input, out *machine.Output) {
 	mine := c.scheduler.Step(now, in)
 	mine.Stopped = false
-	merge(out, mine)
-	merge(out, c.keeper.Flush(now))
+	appendOutput(out, mine)
+	appendOutput(out, c.replica.Flush(now))
 }
 
 // bounce sends a beat on to the one that leads.
-func (c *Center) bounce(line machine.Line, out *machine.Output) {
-	var b wire.BeatBody
-	if err := machine.Unmarshal(line.Body, &b); err != nil {
-		out.Log("line_damaged", "kind", line.Kind, "from", line.From, "why", err.Error())
+func (c *Control) rejectHeartbeat(message machine.Message, out *machine.Output) {
+	var request wire.HeartbeatRequest
+	if err := machine.Unmarshal(message.Body, &request); err != nil {
+		out.Log("line_damaged", "kind", message.Kind, "from", message.From, "why", err.Error())
 		return
 	}
-	back := wire.BeatBackBody{ID: b.ID, Answer: ledger.Answer{Code: code.NotPrimary, Why: "this keeper does not lead now"}, Keepers: c.keeper.Keepers()}
-	if v := c.keeper.View(); v.Primary.ID != c.keeper.ID() {
-		back.Primary = v.Primary.Address
+	reply := wire.HeartbeatReply{ID: request.ID, Result: ledger.Result{Code: code.NotPrimary, Reason: "this keeper does not lead now"}, Replicas: c.replica.MemberAddresses()}
+	if v := c.replica.View(); v.Primary.ID != c.replica.ID() {
+		reply.Primary = v.Primary.Address
 	}
-	out.Send(line.From, wire.BeatBack, back)
+	out.Send(message.From, wire.KindHeartbeatReply, reply)
 }
 
-func merge(out *machine.Output, more machine.Output) {
-	out.Sends = append(out.Sends, more.Sends...)
+func appendOutput(out *machine.Output, more machine.Output) {
+	out.Messages = append(out.Messages, more.Messages...)
 	out.Writes = append(out.Writes, more.Writes...)
-	out.Answers = append(out.Answers, more.Answers...)
-	out.Events = append(out.Events, more.Events...)
-	out.Audits = append(out.Audits, more.Audits...)
+	out.Responses = append(out.Responses, more.Responses...)
+	out.LogEvents = append(out.LogEvents, more.LogEvents...)
+	out.AuditEntries = append(out.AuditEntries, more.AuditEntries...)
 	out.Stopped = out.Stopped || more.Stopped
 }
--- a/core/center/center_test.go
+++ b/core/center/center_test.go
@@ -11,104 +11,104 @@
 	"sorrelloom/core/wire"
 )
 
-type node struct {
-	center *Center
-	disk   machine.Disk
-	boot   time.Duration
-	up     bool
+type testNode struct {
+	control *Control
+	disk    machine.MemoryDisk
+	boot    time.Duration
+	up      bool
 }
 
-type net struct {
-	t       *testing.T
-	now     time.Duration
-	nodes   map[string]*node
-	addr    []string
-	queue   []func()
-	replies map[uint64]wire.BeatBackBody
-	answers map[uint64]wire.CommandBackBody
-	boots   uint64
-	id      uint64
+type testNet struct {
+	t         *testing.T
+	now       time.Duration
+	nodes     map[string]*testNode
+	addresses []string
+	queue     []func()
+	replies   map[uint64]wire.HeartbeatReply
+	answers   map[uint64]wire.CommandReply
+	starts    uint64
+	lastID    uint64
 	// watch is called after each step of a center.
-	watch func(*Center)
+	onStep func(*Control)
 	// Agents that stand beside workers, by address and in order.
-	sides    map[string]*side
-	allSides []*side
+	agents    map[string]*simAgentWorker
+	allAgents []*simAgentWorker
 }
 
-func newNet(t *testing.T) *net {
-	n := &net{t: t, nodes: map[string]*node{}, addr: []string{"a:1", "b:1", "c:1"}, replies: map[uint64]wire.BeatBackBody{}, answers: map[uint64]wire.CommandBackBody{}}
-	for _, at := range n.addr {
-		n.nodes[at] = &node{}
+func newNet(t *testing.T) *testNet {
+	n := &testNet{t: t, nodes: map[string]*testNode{}, addresses: []string{"a:1", "b:1", "c:1"}, replies: map[uint64]wire.HeartbeatReply{}, answers: map[uint64]wire.CommandReply{}}
+	for _, at := range n.addresses {
+		n.nodes[at] = &testNode{}
 		n.start(at)
 	}
 	return n
 }
 
-func (n *net) start(at string) {
-	n.boots++
+func (n *testNet) start(at string) {
+	n.starts++
 	d := n.nodes[at]
-	c, err := New(Env{
-		Address: at, Site: at, Founders: n.addr, FreshID: fmt.Sprintf("%s-%d", at, n.boots), Boot: n.boots,
-	}, d.disk.Stored())
+	c, err := New(Config{
+		Address: at, Zone: at, Founders: n.addresses, NewID: fmt.Sprintf("%s-%d", at, n.starts), BootID: n.starts,
+	}, d.disk.Load())
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	d.center, d.boot, d.up = c, n.now-time.Millisecond, true
+	d.control, d.boot, d.up = c, n.now-time.Millisecond, true
 }
 
-func (n *net) step(at string, in machine.Input) {
+func (n *testNet) step(at string, in machine.Input) {
 	d := n.nodes[at]
 	if d == nil || !d.up {
 		return
 	}
-	in.Wall = time.Unix(1_000_000, 0).Add(n.now)
-	c := d.center
+	in.WallTime = time.Unix(1_000_000, 0).Add(n.now)
+	c := d.control
 	out := c.Step(n.now-d.boot, in)
-	if n.watch != nil {
-		n.watch(c)
+	if n.onStep != nil {
+		n.onStep(c)
 	}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		body := machine.MustMarshal(s.Body)
-		n.queue = append(n.queue, func() { n.deliver(at, s.To, machine.Line{Wire: 1, Kind: s.Kind, From: at, Body: body}) })
+		n.queue = append(n.queue, func() { n.deliver(at, s.To, machine.Message{Version: 1, Kind: s.Kind, From: at, Body: body}) })
 	}
 	for _, w := range out.Writes {
 		n.queue = append(n.queue, func() {
-			if d.center != c || !d.up {
+			if d.control != c || !d.up {
 				return
 			}
 			d.disk.Apply(w)
-			n.step(at, machine.Input{Wrote: w.Done})
+			n.step(at, machine.Input{CompletedWrite: w.ID})
 		})
 	}
 }
 
-func (n *net) deliver(from, to string, line machine.Line) {
-	if s, ok := n.sides[to]; ok {
-		s.step(machine.Input{Line: line})
+func (n *testNet) deliver(from, to string, message machine.Message) {
+	if s, ok := n.agents[to]; ok {
+		s.step(machine.Input{Message: message})
 		return
 	}
-	switch line.Kind {
-	case wire.BeatBack:
-		var b wire.BeatBackBody
-		if machine.Unmarshal(line.Body, &b) == nil {
+	switch message.Kind {
+	case wire.KindHeartbeatReply:
+		var b wire.HeartbeatReply
+		if machine.Unmarshal(message.Body, &b) == nil {
 			n.replies[b.ID] = b
 		}
-	case wire.CommandBack:
-		var b wire.CommandBackBody
-		if machine.Unmarshal(line.Body, &b) == nil {
+	case wire.KindCommandReply:
+		var b wire.CommandReply
+		if machine.Unmarshal(message.Body, &b) == nil {
 			n.answers[b.ID] = b
 		}
 	default:
-		n.step(to, machine.Input{Line: line})
+		n.step(to, machine.Input{Message: message})
 	}
 }
 
-func (n *net) run(span time.Duration) {
+func (n *testNet) run(span time.Duration) {
 	for end := n.now + span; n.now < end; n.now += 5 * time.Millisecond {
-		for _, at := range n.addr {
+		for _, at := range n.addresses {
 			n.step(at, machine.Input{})
 		}
-		for _, s := range n.allSides {
+		for _, s := range n.allAgents {
 			s.wake()
 		}
 		for len(n.queue) > 0 {
@@ -119,9 +119,9 @@
 	}
 }
 
-func (n *net) leader() string {
-	for _, at := range n.addr {
-		if n.nodes[at].up && n.nodes[at].center.Keeper().Serving() {
+func (n *testNet) leader() string {
+	for _, at := range n.addresses {
+		if n.nodes[at].up && n.nodes[at].control.Replica().Serving() {
 			return at
 		}
 	}
@@ -129,80 +129,80 @@
 	return ""
 }
 
-func (n *net) command(cmd ledger.Command) ledger.Answer {
-	n.id++
-	line := machine.Line{Wire: 1, Kind: wire.Command, From: "door", Body: machine.MustMarshal(wire.CommandBody{ID: n.id, Command: cmd})}
-	n.step(n.leader(), machine.Input{Line: line})
+func (n *testNet) command(cmd ledger.Command) ledger.Result {
+	n.lastID++
+	message := machine.Message{Version: 1, Kind: wire.KindCommand, From: "door", Body: machine.MustMarshal(wire.CommandRequest{ID: n.lastID, Command: cmd})}
+	n.step(n.leader(), machine.Input{Message: message})
 	n.run(50 * time.Millisecond)
-	b, ok := n.answers[n.id]
+	b, ok := n.answers[n.lastID]
 	if !ok {
 		n.t.Fatalf("no answer to %s", cmd.Kind)
 	}
-	return b.Answer
+	return b.Result
 }
 
-func (n *net) beat(b ledger.Beat) wire.BeatBackBody {
-	n.id++
-	line := machine.Line{Wire: 1, Kind: wire.Beat, From: "side", Body: machine.MustMarshal(wire.BeatBody{ID: n.id, Hold: 200 * time.Millisecond, Beat: b})}
-	n.step(n.leader(), machine.Input{Line: line})
+func (n *testNet) heartbeat(b ledger.Heartbeat) wire.HeartbeatReply {
+	n.lastID++
+	message := machine.Message{Version: 1, Kind: wire.KindHeartbeat, From: "side", Body: machine.MustMarshal(wire.HeartbeatRequest{ID: n.lastID, MaxWait: 200 * time.Millisecond, Heartbeat: b})}
+	n.step(n.leader(), machine.Input{Message: message})
 	n.run(300 * time.Millisecond)
-	return n.replies[n.id]
+	return n.replies[n.lastID]
 }
 
-const planBody = `{"services":{"s":{"anyLabel":true,"classes":{"c":{"priority":1,"share":100,"silence":"restart"}}}},"policies":{"borrow":"true"},"limits":{"endsAtCutoff":true}}`
+const configBody = `{"services":{"s":{"anyLabel":true,"classes":{"c":{"priority":1,"share":100,"silence":"restart"}}}},"policies":{"borrow":"true"},"limits":{"endsAtCutoff":true}}`
 
-func beatOf(number uint64, running ...ledger.Attempt) ledger.Beat {
-	room := ledger.Room{Slots: 100}
-	return ledger.Beat{Worker: "w", Incarnation: 1, Number: number, Service: "s", Site: "x", Free: room, Total: room, Running: running}
+func heartbeatOf(number uint64, running ...ledger.Attempt) ledger.Heartbeat {
+	room := ledger.Resources{Slots: 100}
+	return ledger.Heartbeat{Worker: "w", Incarnation: 1, Number: number, Service: "s", Zone: "x", Free: room, Total: room, Running: running}
 }
 
-func (n *net) ready() {
+func (n *testNet) configure() {
 	n.run(3 * time.Second)
-	if a := n.command(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Body: []byte(planBody)}}); !a.Code.Good() {
+	if a := n.command(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Body: []byte(configBody)}}); !a.Code.IsSuccess() {
 		n.t.Fatal(a)
 	}
 }
 
-func (n *net) job(id string, count int) {
-	steps := []ledger.StepSpec{{Count: count, Room: ledger.Room{Slots: 10}}}
-	if a := n.command(ledger.Command{Kind: ledger.KindAccept, Brief: true, Accept: ledger.JobSpec{ID: id, Service: "s", Class: "c", Steps: steps}}); !a.Code.Good() {
+func (n *testNet) submitJob(id string, count int) {
+	steps := []ledger.StepSpec{{Count: count, Resources: ledger.Resources{Slots: 10}}}
+	if a := n.command(ledger.Command{Kind: ledger.KindAcceptJob, Summary: true, Job: ledger.JobSpec{ID: id, Service: "s", Class: "c", Steps: steps}}); !a.Code.IsSuccess() {
 		n.t.Fatal(a)
 	}
 }
 
-func TestAJobIsHandedOutOnceTwoDisksHaveIt(t *testing.T) {
+func TestJobIsDispatchedOnceCommitted(t *testing.T) {
 	n := newNet(t)
-	n.ready()
-	n.beat(beatOf(1))
-	n.job("j", 3)
-	back := n.beat(beatOf(2))
-	if len(back.Answer.Orders.Starts) != 3 || back.Answer.Orders.Epoch == 0 {
+	n.configure()
+	n.heartbeat(heartbeatOf(1))
+	n.submitJob("j", 3)
+	back := n.heartbeat(heartbeatOf(2))
+	if len(back.Result.Heartbeat.Starts) != 3 || back.Result.Heartbeat.Epoch == 0 {
 		t.Fatalf("got %+v", back)
 	}
 }
 
 // The primary that comes back as primary holds the duties already, and must all
 // the same know what waits.
-func TestWhatWaitsIsHandedOutAfterAllLostPower(t *testing.T) {
+func TestQueuedTasksAreDispatchedAfterFullPowerLoss(t *testing.T) {
 	n := newNet(t)
-	n.ready()
-	n.beat(beatOf(1))
+	n.configure()
+	n.heartbeat(heartbeatOf(1))
 	led := n.leader()
-	n.job("j", 2)
-	for _, at := range n.addr {
+	n.submitJob("j", 2)
+	for _, at := range n.addresses {
 		n.nodes[at].up = false
 	}
 	n.queue = nil
 	n.now += time.Second
-	for _, at := range n.addr {
+	for _, at := range n.addresses {
 		n.start(at)
 	}
 	n.run(6 * time.Second)
 	if n.leader() != led {
 		t.Logf("%s led, %s leads", led, n.leader())
 	}
-	n.beat(beatOf(2))
-	if back := n.beat(beatOf(3)); len(back.Answer.Orders.Starts) != 2 {
+	n.heartbeat(heartbeatOf(2))
+	if back := n.heartbeat(heartbeatOf(3)); len(back.Result.Heartbeat.Starts) != 2 {
 		t.Fatalf("%s led, %s leads, got %+v", led, n.leader(), back)
 	}
 }
--- a/core/center/proxy.go
+++ b/core/center/proxy.go
@@ -10,112 +10,112 @@
 	"sorrelloom/core/wire"
 )
 
-const askEach = 500 * time.Millisecond
+const viewQueryInterval = 500 * time.Millisecond
 
 // Proxy stands where a keeper is looked for on a machine without a disk. It takes
 // no seat and decides nothing: it sends whoever comes on to the keepers.
 type Proxy struct {
-	seat    wire.Seat
-	seeds   []string
-	view    wire.View
-	keepers []string
-	askAt   time.Duration
-	turn    int
+	self      wire.Member
+	seeds     []string
+	view      wire.View
+	replicas  []string
+	nextQuery time.Duration
+	queries   int
 }
 
 // NewProxy gives a proxy that begins from the seeds; its identity lasts one run.
-func NewProxy(seat wire.Seat, seeds []string) *Proxy { return &Proxy{seat: seat, seeds: seeds} }
+func NewProxy(self wire.Member, seeds []string) *Proxy { return &Proxy{self: self, seeds: seeds} }
 
-func (p *Proxy) Wakeup() time.Duration { return p.askAt }
+func (p *Proxy) NextTimer() time.Duration { return p.nextQuery }
 
 func (p *Proxy) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	line := in.Line
-	switch line.Kind {
-	case wire.Found, wire.FoundBack:
-		take(line, &out, func(b wire.FoundBody) {
+	message := in.Message
+	switch message.Kind {
+	case wire.KindBootstrapProbe, wire.KindBootstrapReply:
+		decode(message, &out, func(b wire.BootstrapStatus) {
 			if b.View.Epoch > p.view.Epoch {
 				p.view = b.View
 			}
 		})
-		if line.Kind == wire.Found {
-			out.Send(line.From, wire.FoundBack, p.self())
+		if message.Kind == wire.KindBootstrapProbe {
+			out.Send(message.From, wire.KindBootstrapReply, p.discovery())
 		}
-	case wire.Nodes:
-		take(line, &out, func(b wire.Gossip) {
-			p.keepers = nil
+	case wire.KindNodeList:
+		decode(message, &out, func(b wire.Gossip) {
+			p.replicas = nil
 			for _, n := range b.Nodes {
 				if n.Role == "keeper" {
-					p.keepers = append(p.keepers, n.Address)
+					p.replicas = append(p.replicas, n.Address)
 				}
 			}
 		})
-	case wire.Command:
-		take(line, &out, func(b wire.CommandBody) {
-			out.Send(line.From, wire.CommandBack, wire.CommandBackBody{ID: b.ID, Answer: bounced, Primary: p.view.Primary.Address, Keepers: p.known()})
+	case wire.KindCommand:
+		decode(message, &out, func(b wire.CommandRequest) {
+			out.Send(message.From, wire.KindCommandReply, wire.CommandReply{ID: b.ID, Result: notAReplica, Primary: p.view.Primary.Address, Replicas: p.replicaAddresses()})
 		})
-	case wire.Beat:
-		take(line, &out, func(b wire.BeatBody) {
-			out.Send(line.From, wire.BeatBack, wire.BeatBackBody{ID: b.ID, Answer: bounced, Primary: p.view.Primary.Address, Keepers: p.known()})
+	case wire.KindHeartbeat:
+		decode(message, &out, func(b wire.HeartbeatRequest) {
+			out.Send(message.From, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: b.ID, Result: notAReplica, Primary: p.view.Primary.Address, Replicas: p.replicaAddresses()})
 		})
-	case wire.Follow:
-		take(line, &out, func(b wire.FollowBody) {
-			out.Send(line.From, wire.News, wire.NewsBody{Bounced: true, At: b.At, After: b.At, Primary: p.view.Primary.Address})
+	case wire.KindSubscribe:
+		decode(message, &out, func(b wire.SubscribeRequest) {
+			out.Send(message.From, wire.KindFeedUpdate, wire.FeedUpdate{Rejected: true, Position: b.Position, Previous: b.Position, Primary: p.view.Primary.Address})
 		})
-	case wire.News:
-		take(line, &out, func(b wire.NewsBody) {
+	case wire.KindFeedUpdate:
+		decode(message, &out, func(b wire.FeedUpdate) {
 			if b.Epoch > p.view.Epoch && b.Primary != "" {
-				out.Send(b.Primary, wire.Found, p.self())
+				out.Send(b.Primary, wire.KindBootstrapProbe, p.discovery())
 			}
 		})
 	case "":
 	default:
-		out.Log("line_unknown", "kind", line.Kind, "from", line.From)
+		out.Log("line_unknown", "kind", message.Kind, "from", message.From)
 	}
-	if now >= p.askAt {
-		p.askAt = now + askEach
-		p.ask(&out)
+	if now >= p.nextQuery {
+		p.nextQuery = now + viewQueryInterval
+		p.queryView(&out)
 	}
 	out.Stopped = in.Stop
 	return out
 }
 
 // ask looks for the view at one keeper after the other.
-func (p *Proxy) ask(out *machine.Output) {
+func (p *Proxy) queryView(out *machine.Output) {
 	var others []string
-	for _, to := range slices.Concat(p.known(), p.keepers, p.seeds) {
-		if to != p.seat.Address && !slices.Contains(others, to) {
+	for _, to := range slices.Concat(p.replicaAddresses(), p.replicas, p.seeds) {
+		if to != p.self.Address && !slices.Contains(others, to) {
 			others = append(others, to)
 		}
 	}
-	if p.turn++; len(others) > 0 {
-		out.Send(others[p.turn%len(others)], wire.Found, p.self())
+	if p.queries++; len(others) > 0 {
+		out.Send(others[p.queries%len(others)], wire.KindBootstrapProbe, p.discovery())
 	}
 }
 
-func (p *Proxy) self() wire.FoundBody {
-	return wire.FoundBody{Seat: p.seat, Empty: true, Proxy: true, View: p.view}
+func (p *Proxy) discovery() wire.BootstrapStatus {
+	return wire.BootstrapStatus{Member: p.self, Empty: true, Proxy: true, View: p.view}
 }
 
 // known are the addresses of the view's keepers, or of those that the members know.
-func (p *Proxy) known() []string {
+func (p *Proxy) replicaAddresses() []string {
 	var out []string
-	for _, s := range p.view.Witnesses {
+	for _, s := range p.view.Voters {
 		out = append(out, s.Address)
 	}
 	if out == nil {
-		return p.keepers
+		return p.replicas
 	}
 	return out
 }
 
-var bounced = ledger.Answer{Code: code.NotPrimary, Why: "this process keeps nothing; the keepers are named"}
+var notAReplica = ledger.Result{Code: code.NotPrimary, Reason: "this process keeps nothing; the keepers are named"}
 
 // take decodes a line's body; a damaged one is logged and dropped.
-func take[B any](line machine.Line, out *machine.Output, do func(B)) {
+func decode[B any](message machine.Message, out *machine.Output, do func(B)) {
 	var b B
-	if err := machine.Unmarshal(line.Body, &b); err != nil {
-		out.Log("line_damaged", "kind", line.Kind, "from", line.From, "why", err.Error())
+	if err := machine.Unmarshal(message.Body, &b); err != nil {
+		out.Log("line_damaged", "kind", message.Kind, "from", message.From, "why", err.Error())
 		return
 	}
 	do(b)
--- a/core/code/code_test.go
+++ b/core/code/code_test.go
@@ -15,7 +15,7 @@
 	}
 	var rows []string
 	for _, e := range Table() {
-		rows = append(rows, fmt.Sprintf("| %d | %s | %d | %s |", int(e.Code), e.Name, e.Status, e.Means))
+		rows = append(rows, fmt.Sprintf("| %d | %s | %d | %s |", int(e.Code), e.Name, e.HTTPStatus, e.Meaning))
 	}
 	_, got, _ := strings.Cut(string(page), "| --- | --- | --- | --- |\n")
 	if want := strings.Join(rows, "\n") + "\n"; got != want {
--- a/core/dispatch/claim.go
+++ b/core/dispatch/claim.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	claimAfter = 3 * time.Second
+	reserveAfter = 3 * time.Second
 	// claimsEach is how long the claims that were found stand.
-	claimsEach = 50 * time.Millisecond
+	reservationTTL = 50 * time.Millisecond
 )
 
-type claim struct {
+type reservation struct {
 	number uint64
 	job    ledger.Job
 	task   int
 }
 
-type claims struct {
-	at        time.Duration
-	byService map[string]claim
+type reservationCache struct {
+	computedAt time.Duration
+	byService  map[string]reservation
 }
 
 // claim gives the service's gang that has one, at this position of the ledger.
-func (d *Dispatch) claim(l *ledger.Ledger, service string) (claim, bool) {
-	if d.claims.byService == nil || l.At() >= d.claims.at+claimsEach {
-		d.claims = claims{l.At(), d.findClaims(l)}
+func (d *Dispatcher) reservation(store *ledger.Store, service string) (reservation, bool) {
+	if d.reservations.byService == nil || store.Now() >= d.reservations.computedAt+reservationTTL {
+		d.reservations = reservationCache{store.Now(), d.findReservations(store)}
 	}
-	c, ok := d.claims.byService[service]
+	c, ok := d.reservations.byService[service]
 	return c, ok
 }
 
-func (d *Dispatch) findClaims(l *ledger.Ledger) map[string]claim {
-	out := map[string]claim{}
-	for _, groups := range d.inbox {
+func (d *Dispatcher) findReservations(store *ledger.Store) map[string]reservation {
+	out := map[string]reservation{}
+	for _, groups := range d.queues {
 		for _, g := range groups {
-			if g.kind.gangSlots == 0 {
+			if g.key.gangSlots == 0 {
 				continue
 			}
 			for _, t := range g.tasks {
-				job, ok := l.Job(t.at.Job)
-				if !ok || l.At()-job.Tasks[t.at.Task].ReleasedAt < claimAfter {
+				job, ok := store.Job(t.ref.Job)
+				if !ok || store.Now()-job.Tasks[t.ref.Index].ReadyAt < reserveAfter {
 					continue
 				}
-				if best, claimed := out[g.kind.service]; claimed && best.number <= t.number {
+				if best, claimed := out[g.key.service]; claimed && best.number <= t.number {
 					break
 				}
-				if _, share := l.ClassUse(g.kind.service, g.kind.class); share > 0 && d.feasible(l, job, t.at.Task) {
-					out[g.kind.service] = claim{t.number, job, t.at.Task}
+				if _, share := store.ClassUse(g.key.service, g.key.class); share > 0 && d.gangCanFit(store, job, t.ref.Index) {
+					out[g.key.service] = reservation{t.number, job, t.ref.Index}
 					break
 				}
 			}
@@ -65,9 +65,9 @@
 }
 
 // feasible says whether the empty workers that are there would hold the gang.
-func (d *Dispatch) feasible(l *ledger.Ledger, job ledger.Job, i int) bool {
-	workers := l.Workers()
-	free := make([]ledger.Room, len(workers))
+func (d *Dispatcher) gangCanFit(store *ledger.Store, job ledger.Job, i int) bool {
+	workers := store.Workers()
+	free := make([]ledger.Resources, len(workers))
 	for w := range workers {
 		free[w] = workers[w].Capacity
 	}
@@ -77,13 +77,13 @@
 		if spec.Gang != gang || t.State == ledger.Done {
 			continue
 		}
-		if t.State != ledger.Open || t.Turn.Held() {
+		if t.State != ledger.Ready || t.Lease.Held() {
 			return false
 		}
 		placed := false
 		for w := range workers {
-			if l.Fits(job, j, workers[w]) == code.OK && free[w].Holds(spec.Room) {
-				free[w], placed = free[w].Less(spec.Room), true
+			if store.Fits(job, j, workers[w]) == code.OK && free[w].Covers(spec.Resources) {
+				free[w], placed = free[w].Sub(spec.Resources), true
 				break
 			}
 		}
@@ -95,17 +95,17 @@
 }
 
 // kept says whether a worker's room is kept from a task for a gang's claim.
-func (d *Dispatch) kept(l *ledger.Ledger, w ledger.Worker, k kind, number uint64) bool {
-	c, ok := d.claim(l, k.service)
-	if !ok || number <= c.number || l.Plan().Services[k.service].Classes[k.class].Quick {
+func (d *Dispatcher) reservedFromTask(store *ledger.Store, w ledger.Worker, k groupKey, number uint64) bool {
+	c, ok := d.reservation(store, k.service)
+	if !ok || number <= c.number || store.Config().Services[k.service].Classes[k.class].Quick {
 		return false
 	}
-	if k.gangSlots > 0 || l.Fits(c.job, c.task, w) != code.OK {
+	if k.gangSlots > 0 || store.Fits(c.job, c.task, w) != code.OK {
 		return false
 	}
 	if k.class == c.job.Spec.Class {
 		return true
 	}
-	allowed, _ := l.Allowed(k.service, c.job.Spec.Class, gangSlots(c.job, c.task), nil)
+	allowed, _ := store.CheckShare(k.service, c.job.Spec.Class, gangSlots(c.job, c.task), nil)
 	return allowed
 }
--- a/core/dispatch/dispatch.go
+++ b/core/dispatch/dispatch.go
@@ -22,9 +22,9 @@
 )
 
 // Ref is a task by job and place in it.
-type Ref struct {
-	Job  string
-	Task int
+type TaskRef struct {
+	Job   string
+	Index int
 }
 
 // Counters show which rules the ordinary path used.
@@ -33,243 +33,243 @@
 }
 
 const (
-	runs  = "runs"
-	holds = "holds"
+	taskRuns   = "runs"
+	outputHeld = "holds"
 )
 
 // kind is what tasks of one inbox may have in common: all that decides whether
 // a worker may take them now. Only the first of a kind is looked at, unless the
 // tasks depend on others and differ in locality.
-type kind struct {
+type groupKey struct {
 	service, class, labels string
-	room                   ledger.Room
+	resources              ledger.Resources
 	gangSlots, level       int
-	depends                bool
-	near                   string
+	hasInputs              bool
+	nearRack               string
 	// only is set where tasks of another step are judged apart.
-	only string
+	spreadKey string
 }
 
-type waiting struct {
-	at     Ref
+type queuedTask struct {
+	ref    TaskRef
 	number uint64
 }
 
-type group struct {
-	kind  kind
-	tasks []waiting
+type taskGroup struct {
+	key   groupKey
+	tasks []queuedTask
 }
 
-type placed struct {
+type queuePosition struct {
 	worker string
-	kind   kind
+	key    groupKey
 	number uint64
 }
 
-type Dispatch struct {
-	inbox    map[string][]group
-	slots    map[string]int
-	place    map[Ref]placed
-	unplaced map[Ref]bool
-	entries  map[string]map[Ref]string
-	helping  map[Ref]string
-	helpers  map[string]int
-	rebuilds rebuild
-	fresh    map[string]bool
+type Dispatcher struct {
+	queues         map[string][]taskGroup
+	queuedSlots    map[string]int
+	positions      map[TaskRef]queuePosition
+	unplaced       map[TaskRef]bool
+	workerTasks    map[string]map[TaskRef]string
+	stolenFrom     map[TaskRef]string
+	helpers        map[string]int
+	pendingRebuild rebuildQueue
+	changedWorkers map[string]bool
 	// standings are those of the workers when unplaced tasks were last tried on
 	// them, moving the workers whose inboxes are being emptied.
-	standings map[string]standing
-	moving    map[string]bool
-	ran       map[Ref]held
-	done      map[string]int
-	health    map[string]health
-	usual     map[[2]string]float64
-	claims    claims
-	Counters  Counters
-	central   bool
-	news      map[string]uint64
-	full      []string
-	where     map[Ref]spot
-	together  map[step]map[string]int
-	inputs    map[input]map[string]int
-	runs      map[string]int
-	tried     map[string]time.Duration
-	wellOff   map[string]wellOff
-	sizes     map[string]int
+	triedEligibility map[string]eligibility
+	redistributing   map[string]bool
+	running          map[TaskRef]runningAttempt
+	completedCount   map[string]int
+	health           map[string]health
+	typicalSeconds   map[[2]string]float64
+	reservations     reservationCache
+	Counters         Counters
+	singleQueue      bool
+	queueVersions    map[string]uint64
+	filled           []string
+	locations        map[TaskRef]location
+	stepPeers        map[stepKey]map[string]int
+	inputHolders     map[inputKey]map[string]int
+	runningCount     map[string]int
+	gangTriedAt      map[string]time.Duration
+	majorities       map[string]healthMajority
+	jobSizes         map[string]int
 	// choices are what the last seeding chose from, kept for its memory.
-	choices []seat
+	candidates []queueCandidate
 }
 
 // spot is where a task lies, runs or has ended; step and input name what the
 // counts of such spots are kept for.
-type spot struct {
+type location struct {
 	worker string
 	level  int
-	what   string
+	state  string
 }
 
-type step struct {
-	job   string
+type stepKey struct {
+	jobID string
 	level int
 }
 
-type input struct {
-	job           string
+type inputKey struct {
+	jobID         string
 	first, length int
 }
 
 // put a task at another spot, or at none.
-func (d *Dispatch) move(at Ref, to spot) {
-	was := d.where[at]
+func (d *Dispatcher) relocate(ref TaskRef, to location) {
+	was := d.locations[ref]
 	if was == to {
 		return
 	}
-	count := func(s spot, by int) {
+	count := func(s location, by int) {
 		if s.worker == "" {
 			return
 		}
-		if s.what == runs {
-			d.runs[s.worker] += by
+		if s.state == taskRuns {
+			d.runningCount[s.worker] += by
 		}
-		key := step{at.Job, s.level}
-		if d.together[key] == nil {
-			d.together[key] = map[string]int{}
+		key := stepKey{ref.Job, s.level}
+		if d.stepPeers[key] == nil {
+			d.stepPeers[key] = map[string]int{}
 		}
-		if d.together[key][s.worker] += by; d.together[key][s.worker] == 0 {
-			delete(d.together[key], s.worker)
+		if d.stepPeers[key][s.worker] += by; d.stepPeers[key][s.worker] == 0 {
+			delete(d.stepPeers[key], s.worker)
 		}
-		if len(d.together[key]) == 0 {
-			delete(d.together, key)
+		if len(d.stepPeers[key]) == 0 {
+			delete(d.stepPeers, key)
 		}
 	}
 	count(was, -1)
 	count(to, 1)
-	if d.where[at] = to; to.worker == "" {
-		delete(d.where, at)
+	if d.locations[ref] = to; to.worker == "" {
+		delete(d.locations, ref)
 	}
 }
 
 // TakeFresh gives the workers into whose inboxes something has come, or whose turns
 // have ended, since it was last called.
-func (d *Dispatch) TakeFresh() map[string]bool {
-	out := d.fresh
-	d.fresh = map[string]bool{}
+func (d *Dispatcher) TakeChangedWorkers() map[string]bool {
+	out := d.changedWorkers
+	d.changedWorkers = map[string]bool{}
 	return out
 }
 
 // helps notes that a task is run for the worker in whose inbox it lay, helped
 // that this is over.
-func (d *Dispatch) helps(at Ref, from string) {
-	d.helped(at)
-	d.helping[at] = from
+func (d *Dispatcher) beginSteal(ref TaskRef, from string) {
+	d.endSteal(ref)
+	d.stolenFrom[ref] = from
 	d.helpers[from]++
 }
 
-func (d *Dispatch) helped(at Ref) {
-	from, known := d.helping[at]
+func (d *Dispatcher) endSteal(ref TaskRef) {
+	from, known := d.stolenFrom[ref]
 	if !known {
 		return
 	}
-	delete(d.helping, at)
+	delete(d.stolenFrom, ref)
 	if d.helpers[from]--; d.helpers[from] == 0 {
 		delete(d.helpers, from)
 	}
 }
 
 // News changes whenever a task has come into a worker's inbox.
-func (d *Dispatch) News(worker string) uint64 { return d.news[worker] }
+func (d *Dispatcher) QueueVersion(worker string) uint64 { return d.queueVersions[worker] }
 
 // filled gives the workers whose inboxes are not empty, by name.
-func (d *Dispatch) filled() []string {
-	if d.full == nil {
-		d.full = make([]string, 0, len(d.inbox))
-		for id, groups := range d.inbox {
+func (d *Dispatcher) nonEmptyQueues() []string {
+	if d.filled == nil {
+		d.filled = make([]string, 0, len(d.queues))
+		for id, groups := range d.queues {
 			if len(groups) > 0 {
-				d.full = append(d.full, id)
+				d.filled = append(d.filled, id)
 			}
 		}
-		slices.Sort(d.full)
+		slices.Sort(d.filled)
 	}
-	return d.full
+	return d.filled
 }
 
 // Patience is how long a task may wait in the inbox of a worker that has room
 // for it before others may take it: its scheduler may be gone.
-const Patience = 300 * time.Millisecond
+const StealDelay = 300 * time.Millisecond
 
 // NewCentral is the variant that measurements compare with: one inbox for all
 // workers, in the same order otherwise.
-func NewCentral() *Dispatch {
+func NewSingleQueue() *Dispatcher {
 	d := New()
-	d.central = true
+	d.singleQueue = true
 	return d
 }
 
-func New() *Dispatch {
-	d := &Dispatch{fresh: map[string]bool{}, health: map[string]health{}, usual: map[[2]string]float64{}, news: map[string]uint64{}, wellOff: map[string]wellOff{}}
-	d.clear()
+func New() *Dispatcher {
+	d := &Dispatcher{changedWorkers: map[string]bool{}, health: map[string]health{}, typicalSeconds: map[[2]string]float64{}, queueVersions: map[string]uint64{}, majorities: map[string]healthMajority{}}
+	d.reset()
 	return d
 }
 
-func (d *Dispatch) clear() {
-	d.full = nil
-	d.where, d.together, d.inputs = map[Ref]spot{}, map[step]map[string]int{}, map[input]map[string]int{}
-	d.runs, d.tried, d.sizes = map[string]int{}, map[string]time.Duration{}, map[string]int{}
-	d.inbox, d.slots, d.place, d.unplaced = map[string][]group{}, map[string]int{}, map[Ref]placed{}, map[Ref]bool{}
-	d.helpers, d.rebuilds = map[string]int{}, rebuild{}
-	d.standings, d.moving = map[string]standing{}, map[string]bool{}
-	d.entries, d.helping, d.ran, d.done = map[string]map[Ref]string{}, map[Ref]string{}, map[Ref]held{}, map[string]int{}
+func (d *Dispatcher) reset() {
+	d.filled = nil
+	d.locations, d.stepPeers, d.inputHolders = map[TaskRef]location{}, map[stepKey]map[string]int{}, map[inputKey]map[string]int{}
+	d.runningCount, d.gangTriedAt, d.jobSizes = map[string]int{}, map[string]time.Duration{}, map[string]int{}
+	d.queues, d.queuedSlots, d.positions, d.unplaced = map[string][]taskGroup{}, map[string]int{}, map[TaskRef]queuePosition{}, map[TaskRef]bool{}
+	d.helpers, d.pendingRebuild = map[string]int{}, rebuildQueue{}
+	d.triedEligibility, d.redistributing = map[string]eligibility{}, map[string]bool{}
+	d.workerTasks, d.stolenFrom, d.running, d.completedCount = map[string]map[TaskRef]string{}, map[TaskRef]string{}, map[TaskRef]runningAttempt{}, map[string]int{}
 }
 
 // Update takes what changed in the ledger, and goes on with a rebuild that is under way.
-func (d *Dispatch) Update(l *ledger.Ledger, changes []ledger.Changed) {
+func (d *Dispatcher) Update(store *ledger.Store, changes []ledger.Change) {
 	for _, c := range changes {
 		switch {
 		case c.All:
-			d.claims = claims{}
-			d.beginRebuild(l)
+			d.reservations = reservationCache{}
+			d.beginRebuild(store)
 		case c.Worker != "":
-			d.worker(l, c.Worker)
+			d.updateWorker(store, c.Worker)
 		case c.Task < 0:
-			if _, ok := l.Job(c.Job); !ok {
-				d.forget(c.Job)
+			if _, ok := store.Job(c.Job); !ok {
+				d.forgetJob(c.Job)
 			}
 		default:
-			d.task(l, Ref{c.Job, c.Task})
+			d.updateTask(store, TaskRef{c.Job, c.Task})
 		}
 	}
-	d.goOn(l)
+	d.continueRebuild(store)
 }
 
-func (d *Dispatch) forget(job string) {
-	for i := range d.sizes[job] {
-		at := Ref{job, i}
-		delete(d.entries[d.where[at].worker], at)
-		d.remove(at)
-		d.move(at, spot{})
+func (d *Dispatcher) forgetJob(job string) {
+	for i := range d.jobSizes[job] {
+		ref := TaskRef{job, i}
+		delete(d.workerTasks[d.locations[ref].worker], ref)
+		d.dequeue(ref)
+		d.relocate(ref, location{})
 	}
-	delete(d.sizes, job)
-	for key := range d.inputs {
-		if key.job == job {
-			delete(d.inputs, key)
+	delete(d.jobSizes, job)
+	for key := range d.inputHolders {
+		if key.jobID == job {
+			delete(d.inputHolders, key)
 		}
 	}
 }
 
-func (d *Dispatch) remove(at Ref) {
-	delete(d.unplaced, at)
-	p, ok := d.place[at]
+func (d *Dispatcher) dequeue(ref TaskRef) {
+	delete(d.unplaced, ref)
+	p, ok := d.positions[ref]
 	if !ok {
 		return
 	}
-	delete(d.place, at)
-	d.move(at, spot{})
-	d.full = nil
-	d.slots[p.worker] -= p.kind.room.Slots
-	groups := d.inbox[p.worker]
+	delete(d.positions, ref)
+	d.relocate(ref, location{})
+	d.filled = nil
+	d.queuedSlots[p.worker] -= p.key.resources.Slots
+	groups := d.queues[p.worker]
 	for i := range groups {
-		if groups[i].kind == p.kind {
-			if j, found := find(groups[i].tasks, p.number); found {
+		if groups[i].key == p.key {
+			if j, found := searchTask(groups[i].tasks, p.number); found {
 				groups[i].tasks = slices.Delete(groups[i].tasks, j, j+1)
 			}
 			if len(groups[i].tasks) == 0 {
@@ -278,18 +278,18 @@
 			break
 		}
 	}
-	d.inbox[p.worker] = groups
+	d.queues[p.worker] = groups
 }
 
-func find(tasks []waiting, number uint64) (int, bool) {
-	return slices.BinarySearchFunc(tasks, number, func(w waiting, n uint64) int { return cmp.Compare(w.number, n) })
+func searchTask(tasks []queuedTask, number uint64) (int, bool) {
+	return slices.BinarySearchFunc(tasks, number, func(w queuedTask, n uint64) int { return cmp.Compare(w.number, n) })
 }
 
-func kindOf(job ledger.Job, i int) kind {
+func groupKeyOf(job ledger.Job, i int) groupKey {
 	spec := job.Spec.Tasks[i]
-	k := kind{job.Spec.Service, job.Spec.Class, strings.Join(spec.Labels, ","), spec.Room, 0, job.Tasks[i].Level, len(spec.Needs) > 0, spec.NearRack, ""}
-	if spec.PerWorker > 0 {
-		k.only = fmt.Sprintf("%s/%d/%d", job.Spec.ID, spec.Time, job.Tasks[i].Level)
+	k := groupKey{job.Spec.Service, job.Spec.Class, strings.Join(spec.Labels, ","), spec.Resources, 0, job.Tasks[i].Level, len(spec.Dependencies) > 0, spec.PreferredRack, ""}
+	if spec.MaxPerWorker > 0 {
+		k.spreadKey = fmt.Sprintf("%s/%d/%d", job.Spec.ID, spec.Repetition, job.Tasks[i].Level)
 	}
 	if spec.Gang != "" {
 		k.gangSlots = gangSlots(job, i)
@@ -297,57 +297,57 @@
 	return k
 }
 
-func (d *Dispatch) enter(worker string, at Ref, what string) {
-	if d.entries[worker] == nil {
-		d.entries[worker] = map[Ref]string{}
+func (d *Dispatcher) setWorkerTask(worker string, ref TaskRef, what string) {
+	if d.workerTasks[worker] == nil {
+		d.workerTasks[worker] = map[TaskRef]string{}
 	}
-	d.entries[worker][at] = what
+	d.workerTasks[worker][ref] = what
 }
 
-func (d *Dispatch) task(l *ledger.Ledger, at Ref) {
-	job, ok := l.Job(at.Job)
+func (d *Dispatcher) updateTask(store *ledger.Store, ref TaskRef) {
+	job, ok := store.Job(ref.Job)
 	if !ok {
 		return
 	}
-	t := job.Tasks[at.Task]
-	d.sizes[at.Job] = len(job.Tasks)
-	if was, ok := d.ran[at]; ok && (!t.Turn.Held() || t.Turn.Worker != was.worker) {
-		d.learn(l, job, at.Task, was)
-		delete(d.entries[was.worker], at)
-		delete(d.ran, at)
-		d.helped(at)
-		d.fresh[was.worker] = true
+	t := job.Tasks[ref.Index]
+	d.jobSizes[ref.Job] = len(job.Tasks)
+	if was, ok := d.running[ref]; ok && (!t.Lease.Held() || t.Lease.Worker != was.worker) {
+		d.observeAttemptEnd(store, job, ref.Index, was)
+		delete(d.workerTasks[was.worker], ref)
+		delete(d.running, ref)
+		d.endSteal(ref)
+		d.changedWorkers[was.worker] = true
 	}
 	switch {
 	case t.State == ledger.Done:
-		if d.entries[t.Holder][at] != holds {
-			d.done[t.Holder]++
+		if d.workerTasks[t.CompletedOn][ref] != outputHeld {
+			d.completedCount[t.CompletedOn]++
 		}
-		d.remove(at)
-		d.enter(t.Holder, at, holds)
-		d.move(at, spot{t.Holder, t.Level, holds})
-	case t.Turn.Held():
-		if from := d.place[at].worker; from != "" && from != t.Turn.Worker {
-			d.helps(at, from)
+		d.dequeue(ref)
+		d.setWorkerTask(t.CompletedOn, ref, outputHeld)
+		d.relocate(ref, location{t.CompletedOn, t.Level, outputHeld})
+	case t.Lease.Held():
+		if from := d.positions[ref].worker; from != "" && from != t.Lease.Worker {
+			d.beginSteal(ref, from)
 		}
-		d.remove(at)
-		d.enter(t.Turn.Worker, at, runs)
-		d.move(at, spot{t.Turn.Worker, t.Level, runs})
-		d.ran[at] = held{t.Turn.Worker, t.Turn.StartedAt, t.Defects, t.Losses}
-	case t.State == ledger.Open:
-		if _, placed := d.place[at]; !placed && leads(job, at.Task) {
+		d.dequeue(ref)
+		d.setWorkerTask(t.Lease.Worker, ref, taskRuns)
+		d.relocate(ref, location{t.Lease.Worker, t.Level, taskRuns})
+		d.running[ref] = runningAttempt{t.Lease.Worker, t.Lease.StartedAt, t.Failures, t.Losses}
+	case t.State == ledger.Ready:
+		if _, placed := d.positions[ref]; !placed && isGangHead(job, ref.Index) {
 			d.Counters.Releases++
-			d.seed(l, job, at)
+			d.assignQueue(store, job, ref)
 		}
 	default:
-		d.remove(at)
-		d.move(at, spot{})
+		d.dequeue(ref)
+		d.relocate(ref, location{})
 	}
 }
 
 // leads says whether a task stands in an inbox for itself, or for its gang, of
 // which only the first member does.
-func leads(job ledger.Job, i int) bool {
+func isGangHead(job ledger.Job, i int) bool {
 	gang := job.Spec.Tasks[i].Gang
 	if gang == "" {
 		return true
@@ -360,64 +360,64 @@
 
 // worker moves tasks away from a worker that can no longer take them, and
 // tries those for whom no worker was found before.
-func (d *Dispatch) worker(l *ledger.Ledger, id string) {
-	d.settle(l, id, rebuildMost)
+func (d *Dispatcher) updateWorker(store *ledger.Store, id string) {
+	d.updateWorkerUpTo(store, id, rebuildBatch)
 }
 
 // settle does the same with so many tasks at most, and gives how many of those are
 // left. What is not done waits for the next Update.
-func (d *Dispatch) settle(l *ledger.Ledger, id string, most int) int {
-	most = d.moveAway(l, id, most)
-	d.tryUnplaced(l, id)
+func (d *Dispatcher) updateWorkerUpTo(store *ledger.Store, id string, most int) int {
+	most = d.requeueUnfit(store, id, most)
+	d.placeUnplaced(store, id)
 	return most
 }
 
 // tryUnplaced puts the tasks for whom no worker was found into a worker's inbox if
 // it is not as it was when they were last tried.
-func (d *Dispatch) tryUnplaced(l *ledger.Ledger, id string) {
-	w, known := l.Worker(id)
-	standing := standingOf(l, w, known)
-	if d.standings[id] == standing {
+func (d *Dispatcher) placeUnplaced(store *ledger.Store, id string) {
+	w, known := store.Worker(id)
+	standing := eligibilityOf(store, w, known)
+	if d.triedEligibility[id] == standing {
 		return
 	}
-	d.standings[id] = standing
+	d.triedEligibility[id] = standing
 	if len(d.unplaced) == 0 {
 		return
 	}
-	left := unplacedMost
-	for _, at := range d.sorted(l, d.unplaced) {
-		if job, ok := l.Job(at.Job); ok && l.Fits(job, at.Task, w) == code.OK && w.Capacity.Holds(job.Spec.Tasks[at.Task].Room) {
+	left := unplacedBatch
+	for _, ref := range d.sortedByNumber(store, d.unplaced) {
+		if job, ok := store.Job(ref.Job); ok && store.Fits(job, ref.Index, w) == code.OK && w.Capacity.Covers(job.Spec.Tasks[ref.Index].Resources) {
 			if left--; left < 0 {
-				delete(d.standings, id)
-				d.moving[id] = true
+				delete(d.triedEligibility, id)
+				d.redistributing[id] = true
 				return
 			}
-			d.put(job, at, id)
+			d.enqueue(job, ref, id)
 		}
 	}
 }
 
 // standing is all of a worker that decides which tasks it may ever take. While it
 // stays the same, a task for which no worker was found finds none in this one.
-type standing struct {
-	service, site, labels   string
-	capacity                ledger.Room
+type eligibility struct {
+	service, zone, labels   string
+	capacity                ledger.Resources
 	leaving, drained, alive bool
 }
 
-func standingOf(l *ledger.Ledger, w ledger.Worker, known bool) standing {
+func eligibilityOf(store *ledger.Store, w ledger.Worker, known bool) eligibility {
 	if !known {
-		return standing{}
+		return eligibility{}
 	}
-	return standing{w.Service, w.Site, strings.Join(w.Labels, ","), w.Capacity, w.Leaving, w.Drained, l.Live(w)}
+	return eligibility{w.Service, w.Zone, strings.Join(w.Labels, ","), w.Capacity, w.Leaving, w.Drained, store.Live(w)}
 }
 
 // forgetSilent has unplaced tasks tried on the workers that are silent now as soon as
 // they are heard: a worker falls silent without a change of the ledger.
-func (d *Dispatch) forgetSilent(l *ledger.Ledger) {
-	for _, w := range l.Workers() {
-		if !l.Live(w) {
-			delete(d.standings, w.ID())
+func (d *Dispatcher) retrySilentWorkers(store *ledger.Store) {
+	for _, w := range store.Workers() {
+		if !store.Live(w) {
+			delete(d.triedEligibility, w.ID())
 		}
 	}
 }
@@ -425,22 +425,22 @@
 // moveAway seeds anew what lies in a worker's inbox and does not fit it, so many
 // tasks at most; it gives how many of those are left. The rest waits for the next
 // Update.
-func (d *Dispatch) moveAway(l *ledger.Ledger, id string, most int) int {
-	w, known := l.Worker(id)
-	delete(d.moving, id)
-	for _, g := range slices.Clone(d.inbox[id]) {
-		if job, ok := l.Job(g.tasks[0].at.Job); known && ok && l.Fits(job, g.tasks[0].at.Task, w) == code.OK {
+func (d *Dispatcher) requeueUnfit(store *ledger.Store, id string, most int) int {
+	w, known := store.Worker(id)
+	delete(d.redistributing, id)
+	for _, g := range slices.Clone(d.queues[id]) {
+		if job, ok := store.Job(g.tasks[0].ref.Job); known && ok && store.Fits(job, g.tasks[0].ref.Index, w) == code.OK {
 			continue
 		}
 		for _, t := range slices.Backward(slices.Clone(g.tasks)) {
 			if most == 0 {
-				d.moving[id] = true
+				d.redistributing[id] = true
 				return 0
 			}
 			most--
-			d.remove(t.at)
-			if job, ok := l.Job(t.at.Job); ok {
-				d.seed(l, job, t.at)
+			d.dequeue(t.ref)
+			if job, ok := store.Job(t.ref.Job); ok {
+				d.assignQueue(store, job, t.ref)
 			}
 		}
 	}
@@ -448,48 +448,48 @@
 }
 
 // Sweep moves tasks out of the inboxes of workers that have gone silent.
-func (d *Dispatch) Sweep(l *ledger.Ledger) {
-	ids := make([]string, 0, len(d.inbox))
-	for id, inbox := range d.inbox {
-		if w, ok := l.Worker(id); len(inbox) > 0 && id != "" && (!ok || !l.Live(w)) {
+func (d *Dispatcher) RequeueFromLostWorkers(store *ledger.Store) {
+	ids := make([]string, 0, len(d.queues))
+	for id, inbox := range d.queues {
+		if w, ok := store.Worker(id); len(inbox) > 0 && id != "" && (!ok || !store.Live(w)) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		d.worker(l, id)
+		d.updateWorker(store, id)
 	}
 }
 
-func (d *Dispatch) put(job ledger.Job, at Ref, worker string) {
-	d.news[worker]++
-	d.fresh[worker] = true
-	d.full = nil
-	delete(d.unplaced, at)
-	k, number := kindOf(job, at.Task), job.Tasks[at.Task].Number
-	d.place[at] = placed{worker, k, number}
-	d.move(at, spot{worker, job.Tasks[at.Task].Level, "waits"})
-	d.slots[worker] += k.room.Slots
-	groups := d.inbox[worker]
-	i := slices.IndexFunc(groups, func(g group) bool { return g.kind == k })
+func (d *Dispatcher) enqueue(job ledger.Job, ref TaskRef, worker string) {
+	d.queueVersions[worker]++
+	d.changedWorkers[worker] = true
+	d.filled = nil
+	delete(d.unplaced, ref)
+	k, number := groupKeyOf(job, ref.Index), job.Tasks[ref.Index].Number
+	d.positions[ref] = queuePosition{worker, k, number}
+	d.relocate(ref, location{worker, job.Tasks[ref.Index].Level, "waits"})
+	d.queuedSlots[worker] += k.resources.Slots
+	groups := d.queues[worker]
+	i := slices.IndexFunc(groups, func(g taskGroup) bool { return g.key == k })
 	if i < 0 {
-		groups = append(groups, group{kind: k})
+		groups = append(groups, taskGroup{key: k})
 		i = len(groups) - 1
 	}
-	j, _ := find(groups[i].tasks, number)
-	groups[i].tasks = slices.Insert(groups[i].tasks, j, waiting{at, number})
-	d.inbox[worker] = groups
+	j, _ := searchTask(groups[i].tasks, number)
+	groups[i].tasks = slices.Insert(groups[i].tasks, j, queuedTask{ref, number})
+	d.queues[worker] = groups
 }
 
 // window is how much busier than the least busy worker, in parts of its slots,
 // a worker may be and still be chosen for what it holds.
-const window = 0.5
+const loadTolerance = 0.5
 
-type seat struct {
-	worker             string
-	spared, near       bool
-	locality, busyness float64
-	siblings           int
+type queueCandidate struct {
+	worker                  string
+	deprioritized, nearData bool
+	locality, load          float64
+	stepPeers               int
 }
 
 // seed puts a released task into the inbox of a fitting worker, one that is not
@@ -497,125 +497,127 @@
 // one, it is the worker that holds most of its inputs, then the one that has
 // most tasks of the same job and step, whose outputs are likely to be wanted
 // together; then the least busy, then the smallest identity.
-func (d *Dispatch) seed(l *ledger.Ledger, job ledger.Job, at Ref) {
-	if d.central {
-		d.put(job, at, "")
+func (d *Dispatcher) assignQueue(store *ledger.Store, job ledger.Job, ref TaskRef) {
+	if d.singleQueue {
+		d.enqueue(job, ref, "")
 		return
 	}
-	seats := d.choices[:0]
+	seats := d.candidates[:0]
 	least, allSpared := math.Inf(1), true
-	workers := l.Workers()
+	workers := store.Workers()
 	for i := range workers {
-		if workers[i].Service != job.Spec.Service || !workers[i].Capacity.Holds(job.Spec.Tasks[at.Task].Room) {
+		if workers[i].Service != job.Spec.Service || !workers[i].Capacity.Covers(job.Spec.Tasks[ref.Index].Resources) {
 			continue
 		}
 		w := workers[i]
-		if l.Fits(job, at.Task, w) != code.OK || d.barred(l, job, at.Task, w) {
+		if store.Fits(job, ref.Index, w) != code.OK || d.failedHere(store, job, ref.Index, w) {
 			continue
 		}
-		s := seat{w.ID(), d.spared(l, w) && !d.probes(l, job, w), near(job, at.Task, w), d.Locality(job, at, w.ID()), d.busyness(l, w), d.siblings(job, at, w.ID())}
-		if allSpared && !s.spared {
-			least, allSpared = s.busyness, false
-		} else if s.spared == allSpared {
-			least = math.Min(least, s.busyness)
+		s := queueCandidate{w.ID(), d.deprioritized(store, w) && !d.mayProbe(store, job, w), isNearData(job, ref.Index, w), d.LocalityScore(job, ref, w.ID()), d.load(store, w), d.stepPeersOn(job, ref, w.ID())}
+		if allSpared && !s.deprioritized {
+			least, allSpared = s.load, false
+		} else if s.deprioritized == allSpared {
+			least = math.Min(least, s.load)
 		}
 		seats = append(seats, s)
 	}
-	d.choices = seats
+	d.candidates = seats
 	best := -1
 	for i, s := range seats {
-		if s.spared == allSpared && s.busyness <= least+window && (best < 0 || s.before(seats[best])) {
+		if s.deprioritized == allSpared && s.load <= least+loadTolerance && (best < 0 || s.precedes(seats[best])) {
 			best = i
 		}
 	}
 	if best < 0 {
-		d.unplaced[at] = true
-		d.forgetSilent(l)
+		d.unplaced[ref] = true
+		d.retrySilentWorkers(store)
 		return
 	}
-	d.put(job, at, seats[best].worker)
+	d.enqueue(job, ref, seats[best].worker)
 }
 
 // near says whether a worker stands at the rack that holds a task's data.
-func near(job ledger.Job, i int, w ledger.Worker) bool {
-	rack := job.Spec.Tasks[i].NearRack
+func isNearData(job ledger.Job, i int, w ledger.Worker) bool {
+	rack := job.Spec.Tasks[i].PreferredRack
 	return rack == "" || rack == w.Rack
 }
 
-func (s seat) before(o seat) bool {
+func (s queueCandidate) precedes(o queueCandidate) bool {
 	switch {
-	case s.near != o.near:
-		return s.near
+	case s.nearData != o.nearData:
+		return s.nearData
 	case s.locality != o.locality:
 		return s.locality > o.locality
-	case s.siblings != o.siblings:
-		return s.siblings > o.siblings
+	case s.stepPeers != o.stepPeers:
+		return s.stepPeers > o.stepPeers
 	}
-	return s.busyness < o.busyness
+	return s.load < o.load
 }
 
 // siblings counts tasks of the same job and step that a worker has.
-func (d *Dispatch) siblings(job ledger.Job, at Ref, worker string) int {
-	count := d.together[step{at.Job, job.Tasks[at.Task].Level}][worker]
-	if d.where[at].worker == worker {
+func (d *Dispatcher) stepPeersOn(job ledger.Job, ref TaskRef, worker string) int {
+	count := d.stepPeers[stepKey{ref.Job, job.Tasks[ref.Index].Level}][worker]
+	if d.locations[ref].worker == worker {
 		count--
 	}
 	return count
 }
 
-func (d *Dispatch) busyness(l *ledger.Ledger, w ledger.Worker) float64 {
-	slots := d.slots[w.ID()] + w.Capacity.Slots - l.Room(w.ID()).Slots
+func (d *Dispatcher) load(store *ledger.Store, w ledger.Worker) float64 {
+	slots := d.queuedSlots[w.ID()] + w.Capacity.Slots - store.FreeResources(w.ID()).Slots
 	return float64(slots) / math.Max(1, float64(w.Capacity.Slots))
 }
 
 // Locality is |H ∩ D| / |D|: of what the task depends on, the part that the
 // worker has completed. Without dependencies it is 0 for every worker.
-func (d *Dispatch) Locality(job ledger.Job, at Ref, worker string) float64 {
-	needs := job.Spec.Tasks[at.Task].Needs
+func (d *Dispatcher) LocalityScore(job ledger.Job, ref TaskRef, worker string) float64 {
+	needs := job.Spec.Tasks[ref.Index].Dependencies
 	if len(needs) == 0 {
 		return 0
 	}
-	key := input{at.Job, needs[0], len(needs)}
-	held, known := d.inputs[key]
+	key := inputKey{ref.Job, needs[0], len(needs)}
+	held, known := d.inputHolders[key]
 	if !known {
 		held = map[string]int{}
 		all := true
 		for _, i := range needs {
 			if all = all && job.Tasks[i].State == ledger.Done; job.Tasks[i].State == ledger.Done {
-				held[job.Tasks[i].Holder]++
+				held[job.Tasks[i].CompletedOn]++
 			}
 		}
 		if consecutive := needs[len(needs)-1]-needs[0] == len(needs)-1; all && consecutive {
-			d.inputs[key] = held
+			d.inputHolders[key] = held
 		}
 	}
 	return float64(held[worker]) / float64(len(needs))
 }
 
-func (d *Dispatch) sorted(l *ledger.Ledger, set map[Ref]bool) []Ref {
-	out := make([]Ref, 0, len(set))
-	for at := range set {
-		out = append(out, at)
+func (d *Dispatcher) sortedByNumber(store *ledger.Store, set map[TaskRef]bool) []TaskRef {
+	out := make([]TaskRef, 0, len(set))
+	for ref := range set {
+		out = append(out, ref)
 	}
-	sort.Slice(out, func(i, j int) bool { return number(l, out[i]) < number(l, out[j]) })
+	sort.Slice(out, func(i, j int) bool { return taskNumber(store, out[i]) < taskNumber(store, out[j]) })
 	return out
 }
 
-func number(l *ledger.Ledger, at Ref) uint64 {
-	if job, ok := l.Job(at.Job); ok {
-		return job.Tasks[at.Task].Number
+func taskNumber(store *ledger.Store, ref TaskRef) uint64 {
+	if job, ok := store.Job(ref.Job); ok {
+		return job.Tasks[ref.Index].Number
 	}
 	return math.MaxUint64
 }
 
 // Inboxes counts, per worker, what waits in its inbox.
-func (d *Dispatch) Inboxes() map[string]int {
+func (d *Dispatcher) QueueLengths() map[string]int {
 	out := map[string]int{}
-	for _, p := range d.place {
+	for _, p := range d.positions {
 		out[p.worker]++
 	}
 	return out
 }
 
 // Unplaced gives the tasks that no present worker could take.
-func (d *Dispatch) Unplaced(l *ledger.Ledger) []Ref { return d.sorted(l, d.unplaced) }
+func (d *Dispatcher) UnplacedTasks(store *ledger.Store) []TaskRef {
+	return d.sortedByNumber(store, d.unplaced)
+}
--- a/core/dispatch/pick.go
+++ b/core/dispatch/pick.go
@@ -16,28 +16,28 @@
 
 // Held is what the caller has asked the ledger for and not heard of yet, or
 // was refused a moment ago.
-type Held struct {
-	Tasks map[Ref]bool
-	Room  map[string]ledger.Room
-	Slots map[[2]string]int
+type InFlight struct {
+	Tasks     map[TaskRef]bool
+	Resources map[string]ledger.Resources
+	Slots     map[[2]string]int
 	// Closed are classes that were over their share a moment ago.
-	Closed map[[2]string]bool
+	OverShare map[[2]string]bool
 }
 
 type tier struct {
 	quick bool
-	order float64
+	score float64
 }
 
 func (t tier) less(o tier) bool {
 	if t.quick != o.quick {
 		return !t.quick
 	}
-	return t.order < o.order
+	return t.score < o.score
 }
 
 type candidate struct {
-	at       Ref
+	ref      TaskRef
 	job      ledger.Job
 	tier     tier
 	level    int
@@ -46,7 +46,7 @@
 }
 
 // better is the order within one inbox; it counts the rule that decided.
-func (d *Dispatch) better(a, b candidate) bool {
+func (d *Dispatcher) precedes(a, b candidate) bool {
 	switch {
 	case a.tier != b.tier:
 		return b.tier.less(a.tier)
@@ -58,91 +58,91 @@
 	return a.number < b.number
 }
 
-func (d *Dispatch) tierOf(l *ledger.Ledger, job ledger.Job, i int) tier {
-	class := l.Plan().Services[job.Spec.Service].Classes[job.Spec.Class]
-	if l.Rules().ByPriority() {
+func (d *Dispatcher) tierOf(store *ledger.Store, job ledger.Job, i int) tier {
+	class := store.Config().Services[job.Spec.Service].Classes[job.Spec.Class]
+	if store.Policies().OrdersByPriority() {
 		return tier{class.Quick, float64(class.Priority)}
 	}
-	usedSlots, shareSlots := l.ClassUse(job.Spec.Service, job.Spec.Class)
-	order := l.Rules().Order(plan.OrderNames{
-		Priority: class.Priority, Level: job.Tasks[i].Level, Waited: (l.At() - job.Tasks[i].ReleasedAt).Seconds(),
-		Share: shareSlots, Used: usedSlots, Class: job.Spec.Class, Service: job.Spec.Service, Slots: job.Spec.Tasks[i].Room.Slots,
+	usedSlots, shareSlots := store.ClassUse(job.Spec.Service, job.Spec.Class)
+	order := store.Policies().Order(plan.OrderInput{
+		Priority: class.Priority, Level: job.Tasks[i].Level, WaitedSeconds: (store.Now() - job.Tasks[i].ReadyAt).Seconds(),
+		Share: shareSlots, Used: usedSlots, Class: job.Spec.Class, Service: job.Spec.Service, Slots: job.Spec.Tasks[i].Resources.Slots,
 	})
 	return tier{class.Quick, math.Floor(order)}
 }
 
 // Choice is the answer to one pull.
-type Choice struct {
-	Picks  []ledger.Pick
-	Refs   []Ref
-	Helped string
-	For    ledger.Pick
+type Proposal struct {
+	Assignments []ledger.Assignment
+	Tasks       []TaskRef
+	StolenFrom  string
+	PreemptFor  ledger.Assignment
 }
 
-type best struct {
+type bestCandidate struct {
 	candidate
-	found              bool
-	from               string
-	helpers            int
-	progress           float64
-	sawShallow, sawFar bool
-	sawLater           bool
+	found                             bool
+	queue                             string
+	helpers                           int
+	progress                          float64
+	decidedByLevel, decidedByLocality bool
+	decidedByNumber                   bool
 }
 
 // Pull is one round over the workers that wait for work: their own inboxes or
 // others' too, quick classes alone or all. Pulls is their order: class first,
 // whatever inbox a quick task lies in, then own inbox, then help.
-type Pull struct{ Help, Quick bool }
+type PullRound struct{ Steal, QuickOnly bool }
 
-var Pulls = []Pull{{Quick: true}, {Help: true, Quick: true}, {}, {Help: true}}
+var PullRounds = []PullRound{{QuickOnly: true}, {Steal: true, QuickOnly: true}, {}, {Steal: true}}
 
 // Next answers the pull of one worker in one round.
-func (d *Dispatch) Next(l *ledger.Ledger, worker string, held Held, pull Pull) (Choice, bool) {
-	w, ok := l.Worker(worker)
+func (d *Dispatcher) Pull(store *ledger.Store, worker string, held InFlight, pull PullRound) (Proposal, bool) {
+	w, ok := store.Worker(worker)
 	if !ok {
-		return Choice{}, false
+		return Proposal{}, false
 	}
-	free := l.Room(worker).Less(held.Room[worker])
-	if free.Slots < 1 || !d.ration(l, w, held.Room[worker].Slots) {
-		return Choice{}, false
+	free := store.FreeResources(worker).Sub(held.Resources[worker])
+	if free.Slots < 1 || !d.mayPull(store, w, held.Resources[worker].Slots) {
+		return Proposal{}, false
 	}
-	skip := map[Ref]bool{}
+	skip := map[TaskRef]bool{}
 	for {
 		inbox := worker
-		if d.central {
+		if d.singleQueue {
 			inbox = ""
 		}
-		chosen := d.bestOf(l, w, inbox, free, held, skip, pull, false)
-		if !pull.Help && !d.central {
+		chosen := d.bestInQueue(store, w, inbox, free, held, skip, pull, false)
+		if !pull.Steal && !d.singleQueue {
 			// A gang lies in one inbox for all its members, which are every worker's own.
-			for _, other := range d.filled() {
+			for _, other := range d.nonEmptyQueues() {
 				if other == worker || !d.hasGang(other) {
 					continue
 				}
-				if b := d.bestOf(l, w, other, free, held, skip, pull, true); b.found && (!chosen.found || d.better(b.candidate, chosen.candidate)) {
-					b.from = worker
+				if b := d.bestInQueue(store, w, other, free, held, skip, pull, true); b.found && (!chosen.found || d.precedes(b.candidate, chosen.candidate)) {
+					b.queue = worker
 					chosen = b
 				}
 			}
 		}
-		if pull.Help && !d.central {
-			chosen = d.bestHelp(l, w, free, held, skip, pull, chosen)
+		if pull.Steal && !d.singleQueue {
+			chosen = d.bestToSteal(store, w, free, held, skip, pull, chosen)
 		}
 		if !chosen.found {
-			return Choice{}, false
+			return Proposal{}, false
 		}
-		choice, ok := d.complete(l, chosen, worker, held)
+		choice, ok := d.propose(store, chosen, worker, held)
 		if !ok {
-			skip[chosen.at] = true
+			skip[chosen.ref] = true
 			continue
 		}
-		d.note(chosen, worker, len(choice.Picks))
+		d.countPull(chosen, worker, len(choice.Assignments))
 		return choice, true
 	}
 }
 
-func (d *Dispatch) note(b best, worker string, picks int) {
-	if b.from == worker {
+func (d *Dispatcher) countPull(b bestCandidate, worker string, picks int) {
+	if b.queue == worker {
 		d.Counters.Own++
 	} else {
 		d.Counters.Helped++
@@ -151,70 +151,70 @@
 		d.Counters.Gangs++
 	}
 	switch {
-	case b.sawShallow:
+	case b.decidedByLevel:
 		d.Counters.Deepest++
-	case b.sawFar:
+	case b.decidedByLocality:
 		d.Counters.Locality++
-	case b.sawLater:
+	case b.decidedByNumber:
 		d.Counters.Smallest++
 	}
 }
 
 // lookAt bounds how many tasks of one kind are compared by locality.
-const lookAt = 64
+const maxExaminedPerGroup = 64
 
 // bestOf looks through one inbox with the eyes of one worker.
-func (d *Dispatch) bestOf(l *ledger.Ledger, w ledger.Worker, inbox string, free ledger.Room, held Held, skip map[Ref]bool, pull Pull, gangs bool) best {
-	var out best
+func (d *Dispatcher) bestInQueue(store *ledger.Store, w ledger.Worker, inbox string, free ledger.Resources, held InFlight, skip map[TaskRef]bool, pull PullRound, gangs bool) bestCandidate {
+	var out bestCandidate
 	own := inbox == w.ID()
-	owner, _ := l.Worker(inbox)
-	ownerRoom := l.Room(inbox).Less(held.Room[inbox])
-	if !own && !d.ration(l, owner, held.Room[inbox].Slots) {
-		ownerRoom = ledger.Room{}
+	owner, _ := store.Worker(inbox)
+	ownerRoom := store.FreeResources(inbox).Sub(held.Resources[inbox])
+	if !own && !d.mayPull(store, owner, held.Resources[inbox].Slots) {
+		ownerRoom = ledger.Resources{}
 	}
-	for _, g := range d.inbox[inbox] {
-		if gangs && g.kind.gangSlots == 0 {
+	for _, g := range d.queues[inbox] {
+		if gangs && g.key.gangSlots == 0 {
 			continue
 		}
-		if pull.Quick && !l.Plan().Services[g.kind.service].Classes[g.kind.class].Quick {
+		if pull.QuickOnly && !store.Config().Services[g.key.service].Classes[g.key.class].Quick {
 			continue
 		}
-		head, ok := l.Job(g.tasks[0].at.Job)
-		if !ok || !free.Holds(g.kind.room) || l.Fits(head, g.tasks[0].at.Task, w) != code.OK {
+		head, ok := store.Job(g.tasks[0].ref.Job)
+		if !ok || !free.Covers(g.key.resources) || store.Fits(head, g.tasks[0].ref.Index, w) != code.OK {
 			continue
 		}
-		if held.Closed[[2]string{g.kind.service, g.kind.class}] {
+		if held.OverShare[[2]string{g.key.service, g.key.class}] {
 			continue
 		}
-		if !l.Rules().AlwaysLends() {
-			if allowed, _ := l.Allowed(g.kind.service, g.kind.class, max(g.kind.room.Slots, g.kind.gangSlots), held.Slots); !allowed {
+		if !store.Policies().AlwaysAllowsBorrowing() {
+			if allowed, _ := store.CheckShare(g.key.service, g.key.class, max(g.key.resources.Slots, g.key.gangSlots), held.Slots); !allowed {
 				continue
 			}
 		}
-		ownerTakes := !own && !gangs && ownerRoom.Holds(g.kind.room) && l.Fits(head, g.tasks[0].at.Task, owner) == code.OK
+		ownerTakes := !own && !gangs && ownerRoom.Covers(g.key.resources) && store.Fits(head, g.tasks[0].ref.Index, owner) == code.OK
 		looked := 0
 		for _, t := range g.tasks {
-			job, ok := l.Job(t.at.Job)
-			if !ok || held.Tasks[t.at] || skip[t.at] || ownerTakes && l.At()-job.Tasks[t.at.Task].ReleasedAt < Patience {
+			job, ok := store.Job(t.ref.Job)
+			if !ok || held.Tasks[t.ref] || skip[t.ref] || ownerTakes && store.Now()-job.Tasks[t.ref.Index].ReadyAt < StealDelay {
 				continue
 			}
-			if g.kind.gangSlots > 0 && d.triedLately(l, t.at.Job, job.Spec.Tasks[t.at.Task].Gang) {
+			if g.key.gangSlots > 0 && d.gangTriedRecently(store, t.ref.Job, job.Spec.Tasks[t.ref.Index].Gang) {
 				continue
 			}
-			if l.Crowded(job, t.at.Task, w.ID(), 0) || d.barred(l, job, t.at.Task, w) || d.kept(l, w, g.kind, t.number) {
+			if store.AtWorkerLimit(job, t.ref.Index, w.ID(), 0) || d.failedHere(store, job, t.ref.Index, w) || d.reservedFromTask(store, w, g.key, t.number) {
 				continue
 			}
 			d.Counters.Looked++
-			c := candidate{t.at, job, d.tierOf(l, job, t.at.Task), g.kind.level, d.Locality(job, t.at, w.ID()), t.number}
-			if !out.found || d.better(c, out.candidate) {
+			c := candidate{t.ref, job, d.tierOf(store, job, t.ref.Index), g.key.level, d.LocalityScore(job, t.ref, w.ID()), t.number}
+			if !out.found || d.precedes(c, out.candidate) {
 				if out.found {
-					out.mark(c, out.candidate)
+					out.recordRule(c, out.candidate)
 				}
-				out.candidate, out.found, out.from = c, true, inbox
+				out.candidate, out.found, out.queue = c, true, inbox
 			} else {
-				out.mark(out.candidate, c)
+				out.recordRule(out.candidate, c)
 			}
-			if looked++; looked >= lookAt || !g.kind.depends && looked >= 2 {
+			if looked++; looked >= maxExaminedPerGroup || !g.key.hasInputs && looked >= 2 {
 				break
 			}
 		}
@@ -222,29 +222,29 @@
 	return out
 }
 
-func (b *best) mark(won, lost candidate) {
+func (b *bestCandidate) recordRule(won, lost candidate) {
 	switch {
 	case won.tier != lost.tier:
 	case won.level != lost.level:
-		b.sawShallow = true
+		b.decidedByLevel = true
 	case won.locality != lost.locality:
-		b.sawFar = true
+		b.decidedByLocality = true
 	default:
-		b.sawLater = true
+		b.decidedByNumber = true
 	}
 }
 
 // bestHelp looks for a straggler, unless its own inbox has as good a tier.
-func (d *Dispatch) bestHelp(l *ledger.Ledger, w ledger.Worker, free ledger.Room, held Held, skip map[Ref]bool, pull Pull, own best) best {
-	if len(d.filled()) == 0 {
+func (d *Dispatcher) bestToSteal(store *ledger.Store, w ledger.Worker, free ledger.Resources, held InFlight, skip map[TaskRef]bool, pull PullRound, own bestCandidate) bestCandidate {
+	if len(d.nonEmptyQueues()) == 0 {
 		return own
 	}
 	out := own
-	for _, other := range d.filled() {
+	for _, other := range d.nonEmptyQueues() {
 		if other == w.ID() {
 			continue
 		}
-		b := d.bestOf(l, w, other, free, held, skip, pull, false)
+		b := d.bestInQueue(store, w, other, free, held, skip, pull, false)
 		if !b.found {
 			continue
 		}
@@ -252,7 +252,7 @@
 		switch {
 		case !out.found || out.tier.less(b.tier):
 			out = b
-		case out.from == w.ID() || b.tier.less(out.tier):
+		case out.queue == w.ID() || b.tier.less(out.tier):
 		case b.helpers != out.helpers:
 			if b.helpers < out.helpers {
 				out = b
@@ -266,30 +266,30 @@
 
 // Progress is the part of a worker's work that is done: completed against
 // completed, running and waiting.
-func (d *Dispatch) Progress(worker string) float64 {
+func (d *Dispatcher) Progress(worker string) float64 {
 	left := 0
-	for _, g := range d.inbox[worker] {
+	for _, g := range d.queues[worker] {
 		left += len(g.tasks)
 	}
-	left += d.runs[worker]
+	left += d.runningCount[worker]
 	if left == 0 {
 		return 1
 	}
-	return float64(d.done[worker]) / float64(d.done[worker]+left)
+	return float64(d.completedCount[worker]) / float64(d.completedCount[worker]+left)
 }
 
 func gangSlots(job ledger.Job, i int) int {
 	gang := job.Spec.Tasks[i].Gang
 	if gang == "" {
-		return job.Spec.Tasks[i].Room.Slots
+		return job.Spec.Tasks[i].Resources.Slots
 	}
 	if steps := job.Spec.Steps; len(steps) > 0 {
-		return steps[job.Spec.Tasks[i].Step].Count * job.Spec.Tasks[i].Room.Slots
+		return steps[job.Spec.Tasks[i].Step].Count * job.Spec.Tasks[i].Resources.Slots
 	}
 	slots := 0
 	for j, spec := range job.Spec.Tasks {
 		if spec.Gang == gang && job.Tasks[j].State != ledger.Done {
-			slots += spec.Room.Slots
+			slots += spec.Resources.Slots
 		}
 	}
 	return slots
@@ -297,75 +297,75 @@
 
 // complete turns the best task into picks; for a gang it finds room for every
 // member at once, the asking worker first, then by free room.
-func (d *Dispatch) complete(l *ledger.Ledger, b best, worker string, held Held) (Choice, bool) {
-	choice := Choice{Helped: b.from}
-	if b.from == worker {
-		choice.Helped = ""
+func (d *Dispatcher) propose(store *ledger.Store, b bestCandidate, worker string, held InFlight) (Proposal, bool) {
+	choice := Proposal{StolenFrom: b.queue}
+	if b.queue == worker {
+		choice.StolenFrom = ""
 	}
 	add := func(i int, to string) {
-		choice.Refs = append(choice.Refs, Ref{b.at.Job, i})
-		choice.Picks = append(choice.Picks, ledger.Pick{Job: b.at.Job, Task: b.job.Spec.Tasks[i].ID, Worker: to})
+		choice.Tasks = append(choice.Tasks, TaskRef{b.ref.Job, i})
+		choice.Assignments = append(choice.Assignments, ledger.Assignment{Job: b.ref.Job, Task: b.job.Spec.Tasks[i].ID, Worker: to})
 	}
-	gang := b.job.Spec.Tasks[b.at.Task].Gang
+	gang := b.job.Spec.Tasks[b.ref.Index].Gang
 	if gang == "" {
-		add(b.at.Task, worker)
+		add(b.ref.Index, worker)
 		return choice, true
 	}
 	// A gang that found no room a moment ago has none for another worker's pull.
-	if d.triedLately(l, b.at.Job, gang) {
-		return Choice{}, false
+	if d.gangTriedRecently(store, b.ref.Job, gang) {
+		return Proposal{}, false
 	}
-	key := b.at.Job + "/" + gang
-	d.tried[key] = l.At()
+	key := b.ref.Job + "/" + gang
+	d.gangTriedAt[key] = store.Now()
 	var members []int
 	for i, spec := range b.job.Spec.Tasks {
 		t := b.job.Tasks[i]
 		if spec.Gang != gang || t.State == ledger.Done {
 			continue
 		}
-		if t.State != ledger.Open || t.Turn.Held() || held.Tasks[Ref{b.at.Job, i}] {
-			return Choice{}, false
+		if t.State != ledger.Ready || t.Lease.Held() || held.Tasks[TaskRef{b.ref.Job, i}] {
+			return Proposal{}, false
 		}
 		members = append(members, i)
 	}
-	for _, rack := range d.racks(l, b, worker) {
-		if seats, ok := d.seats(l, b.job, members, worker, rack, held); ok {
+	for _, rack := range d.candidateRacks(store, b, worker) {
+		if seats, ok := d.placeGang(store, b.job, members, worker, rack, held); ok {
 			for n, i := range members {
 				add(i, seats[n])
 			}
-			delete(d.tried, key)
+			delete(d.gangTriedAt, key)
 			return choice, true
 		}
 	}
-	return Choice{}, false
+	return Proposal{}, false
 }
 
-func (d *Dispatch) hasGang(inbox string) bool {
-	return slices.ContainsFunc(d.inbox[inbox], func(g group) bool { return g.kind.gangSlots > 0 })
+func (d *Dispatcher) hasGang(inbox string) bool {
+	return slices.ContainsFunc(d.queues[inbox], func(g taskGroup) bool { return g.key.gangSlots > 0 })
 }
 
-func (d *Dispatch) triedLately(l *ledger.Ledger, job, gang string) bool {
-	at, tried := d.tried[job+"/"+gang]
-	return tried && l.At() < at+gangEach
+func (d *Dispatcher) gangTriedRecently(store *ledger.Store, job, gang string) bool {
+	ref, tried := d.gangTriedAt[job+"/"+gang]
+	return tried && store.Now() < ref+gangRetryInterval
 }
 
-const gangEach = 10 * time.Millisecond
+const gangRetryInterval = 10 * time.Millisecond
 
 // racks are the places to try for a gang: one rack after the other, that of its
 // data and the asking worker's first, if it asks for one; then all of them.
-func (d *Dispatch) racks(l *ledger.Ledger, b best, worker string) []string {
-	spec := b.job.Spec.Tasks[b.at.Task]
+func (d *Dispatcher) candidateRacks(store *ledger.Store, b bestCandidate, worker string) []string {
+	spec := b.job.Spec.Tasks[b.ref.Index]
 	if !spec.SameRack {
 		return []string{""}
 	}
-	w, _ := l.Worker(worker)
+	w, _ := store.Worker(worker)
 	var out []string
-	for _, rack := range []string{spec.NearRack, w.Rack} {
+	for _, rack := range []string{spec.PreferredRack, w.Rack} {
 		if rack != "" && !slices.Contains(out, rack) {
 			out = append(out, rack)
 		}
 	}
-	for _, other := range l.Workers() {
+	for _, other := range store.Workers() {
 		if other.Rack != "" && !slices.Contains(out, other.Rack) {
 			out = append(out, other.Rack)
 		}
@@ -375,9 +375,9 @@
 
 // seats finds room for every member of a gang at once, on one rack if that is
 // named: by the asking worker first, then near its data, then by free room.
-func (d *Dispatch) seats(l *ledger.Ledger, job ledger.Job, members []int, worker, rack string, held Held) ([]string, bool) {
-	workers := l.Workers()
-	free, on := make([]ledger.Room, len(workers)), make([]int, len(workers))
+func (d *Dispatcher) placeGang(store *ledger.Store, job ledger.Job, members []int, worker, rack string, held InFlight) ([]string, bool) {
+	workers := store.Workers()
+	free, on := make([]ledger.Resources, len(workers)), make([]int, len(workers))
 	fits, most := make([]bool, len(workers)), 0
 	head := job.Spec.Tasks[members[0]]
 	alike := len(job.Spec.Steps) > 0
@@ -385,9 +385,9 @@
 		if rack != "" && w.Rack != rack {
 			continue
 		}
-		if fits[n] = !alike || l.Fits(job, members[0], w) == code.OK; fits[n] {
-			free[n] = l.Room(w.ID()).Less(held.Room[w.ID()])
-			for r := free[n]; alike && r.Holds(head.Room) && most < len(members); r = r.Less(head.Room) {
+		if fits[n] = !alike || store.Fits(job, members[0], w) == code.OK; fits[n] {
+			free[n] = store.FreeResources(w.ID()).Sub(held.Resources[w.ID()])
+			for r := free[n]; alike && r.Covers(head.Resources) && most < len(members); r = r.Sub(head.Resources) {
 				most++
 			}
 		}
@@ -397,16 +397,16 @@
 	}
 	out := make([]string, 0, len(members))
 	for _, i := range members {
-		to, need := -1, job.Spec.Tasks[i].Room
+		to, need := -1, job.Spec.Tasks[i].Resources
 		for n, w := range workers {
-			if !fits[n] || !free[n].Holds(need) || !alike && l.Fits(job, i, w) != code.OK || head.PerWorker > 0 && l.Crowded(job, i, w.ID(), on[n]) {
+			if !fits[n] || !free[n].Covers(need) || !alike && store.Fits(job, i, w) != code.OK || head.MaxPerWorker > 0 && store.AtWorkerLimit(job, i, w.ID(), on[n]) {
 				continue
 			}
 			if to < 0 {
 				to = n
 				continue
 			}
-			isNear, wasNear := near(job, i, w), near(job, i, workers[to])
+			isNear, wasNear := isNearData(job, i, w), isNearData(job, i, workers[to])
 			if isNear != wasNear {
 				if isNear {
 					to = n
@@ -418,7 +418,7 @@
 		if to < 0 {
 			return nil, false
 		}
-		free[to] = free[to].Less(need)
+		free[to] = free[to].Sub(need)
 		on[to]++
 		out = append(out, workers[to].ID())
 	}
@@ -428,42 +428,42 @@
 // PushOut finds borrowed turns to ask back on a site's workers: for tasks that
 // wait, as many as their class's share still holds, where the fitting workers
 // have no room for that many, not even with the turns being stopped already.
-func (d *Dispatch) PushOut(l *ledger.Ledger, site string, held Held) (Choice, bool) {
-	seen := map[kind]bool{}
-	for _, w := range l.Workers() {
-		if w.Site != site {
+func (d *Dispatcher) Preempt(store *ledger.Store, site string, held InFlight) (Proposal, bool) {
+	seen := map[groupKey]bool{}
+	for _, w := range store.Workers() {
+		if w.Zone != site {
 			continue
 		}
-		for _, g := range d.inbox[w.ID()] {
-			if seen[g.kind] {
+		for _, g := range d.queues[w.ID()] {
+			if seen[g.key] {
 				continue
 			}
-			at := g.tasks[0].at
-			job, ok := l.Job(at.Job)
-			if !ok || held.Tasks[at] || g.kind.gangSlots > 0 || l.At()-job.Tasks[at.Task].ReleasedAt < 20*time.Millisecond {
+			ref := g.tasks[0].ref
+			job, ok := store.Job(ref.Job)
+			if !ok || held.Tasks[ref] || g.key.gangSlots > 0 || store.Now()-job.Tasks[ref.Index].ReadyAt < 20*time.Millisecond {
 				continue
 			}
-			seen[g.kind] = true
-			usedSlots, shareSlots := l.ClassUse(job.Spec.Service, job.Spec.Class)
-			wanted := min(d.alike(g.kind), (shareSlots-usedSlots)/g.kind.room.Slots)
-			if wanted <= 0 || d.coming(l, job, at.Task) >= wanted {
+			seen[g.key] = true
+			usedSlots, shareSlots := store.ClassUse(job.Spec.Service, job.Spec.Class)
+			wanted := min(d.queuedAlike(g.key), (shareSlots-usedSlots)/g.key.resources.Slots)
+			if wanted <= 0 || d.upcomingFits(store, job, ref.Index) >= wanted {
 				continue
 			}
-			if pick, ok := d.victim(l, job, at.Task, site, held); ok {
+			if pick, ok := d.preemptionVictim(store, job, ref.Index, site, held); ok {
 				d.Counters.PushOuts++
-				return Choice{Picks: []ledger.Pick{pick}, For: ledger.Pick{Job: at.Job, Task: job.Spec.Tasks[at.Task].ID}}, true
+				return Proposal{Assignments: []ledger.Assignment{pick}, PreemptFor: ledger.Assignment{Job: ref.Job, Task: job.Spec.Tasks[ref.Index].ID}}, true
 			}
 		}
 	}
-	return Choice{}, false
+	return Proposal{}, false
 }
 
 // alike counts the tasks of a kind in all inboxes.
-func (d *Dispatch) alike(k kind) int {
+func (d *Dispatcher) queuedAlike(k groupKey) int {
 	count := 0
-	for _, groups := range d.inbox {
+	for _, groups := range d.queues {
 		for _, g := range groups {
-			if g.kind == k {
+			if g.key == k {
 				count += len(g.tasks)
 			}
 		}
@@ -472,21 +472,21 @@
 }
 
 // heardFor is how long a worker that beats as it should may be unheard.
-const heardFor = 1500 * time.Millisecond
+const heartbeatFreshness = 1500 * time.Millisecond
 
 // coming counts how often the fitting workers that beat as they should, and may
 // pull, have or are about to have the room of a task.
-func (d *Dispatch) coming(l *ledger.Ledger, job ledger.Job, i int) int {
-	count, need := 0, job.Spec.Tasks[i].Room
-	for _, w := range l.Workers() {
-		if l.Fits(job, i, w) != code.OK {
+func (d *Dispatcher) upcomingFits(store *ledger.Store, job ledger.Job, i int) int {
+	count, need := 0, job.Spec.Tasks[i].Resources
+	for _, w := range store.Workers() {
+		if store.Fits(job, i, w) != code.OK {
 			continue
 		}
-		if l.At()-w.SeenAt > heardFor || !d.ration(l, w, 0) {
+		if store.Now()-w.LastSeenAt > heartbeatFreshness || !d.mayPull(store, w, 0) {
 			continue
 		}
-		room := l.Room(w.ID()).Add(l.Stopping(w.ID()))
-		for ; room.Holds(need); room = room.Less(need) {
+		room := store.FreeResources(w.ID()).Add(store.StoppingResources(w.ID()))
+		for ; room.Covers(need); room = room.Sub(need) {
 			count++
 		}
 	}
@@ -495,40 +495,40 @@
 
 // victim is the turn to ask back: a borrowed one, or, for a quick task, any that
 // is not quick, since quick work never waits for other work to end.
-func (d *Dispatch) victim(l *ledger.Ledger, job ledger.Job, i int, site string, held Held) (ledger.Pick, bool) {
-	quick := func(j ledger.Job) bool { return l.Plan().Services[j.Spec.Service].Classes[j.Spec.Class].Quick }
-	pick, ok := d.newest(l, job, i, site, func(p ledger.Pending, other ledger.Job) bool {
-		return p.Turn.Borrowed && other.Spec.Class != job.Spec.Class
+func (d *Dispatcher) preemptionVictim(store *ledger.Store, job ledger.Job, i int, site string, held InFlight) (ledger.Assignment, bool) {
+	quick := func(j ledger.Job) bool { return store.Config().Services[j.Spec.Service].Classes[j.Spec.Class].Quick }
+	pick, ok := d.newestLease(store, job, i, site, func(p ledger.LeasedAttempt, other ledger.Job) bool {
+		return p.Lease.Borrowed && other.Spec.Class != job.Spec.Class
 	})
 	if !ok && quick(job) {
-		pick, ok = d.newest(l, job, i, site, func(_ ledger.Pending, other ledger.Job) bool { return !quick(other) })
+		pick, ok = d.newestLease(store, job, i, site, func(_ ledger.LeasedAttempt, other ledger.Job) bool { return !quick(other) })
 	}
 	return pick, ok
 }
 
 // newest is the turn granted last, of those that may go, on a worker where all
 // of those together would make the room.
-func (d *Dispatch) newest(l *ledger.Ledger, job ledger.Job, i int, site string, may func(ledger.Pending, ledger.Job) bool) (ledger.Pick, bool) {
-	var pick ledger.Pick
+func (d *Dispatcher) newestLease(store *ledger.Store, job ledger.Job, i int, site string, may func(ledger.LeasedAttempt, ledger.Job) bool) (ledger.Assignment, bool) {
+	var pick ledger.Assignment
 	var newest time.Duration
-	for _, w := range l.Workers() {
-		if w.Site != site || l.Fits(job, i, w) != code.OK {
+	for _, w := range store.Workers() {
+		if w.Zone != site || store.Fits(job, i, w) != code.OK {
 			continue
 		}
-		room := l.Room(w.ID())
-		turns := l.TurnsOn(w.ID())
+		room := store.FreeResources(w.ID())
+		turns := store.LeasesOn(w.ID())
 		for _, p := range turns {
-			if other, _ := l.Job(p.Job); may(p, other) {
-				room = room.Add(p.Start.Room)
+			if other, _ := store.Job(p.Job); may(p, other) {
+				room = room.Add(p.Start.Resources)
 			}
 		}
-		if !room.Holds(job.Spec.Tasks[i].Room) {
+		if !room.Covers(job.Spec.Tasks[i].Resources) {
 			continue
 		}
 		for _, p := range turns {
-			other, _ := l.Job(p.Job)
-			if p.Turn.Stop == "" && p.Turn.GrantedAt >= newest && may(p, other) {
-				newest, pick = p.Turn.GrantedAt, ledger.Pick{Job: p.Job, Task: p.Task, Worker: w.ID()}
+			other, _ := store.Job(p.Job)
+			if p.Lease.StopReason == "" && p.Lease.GrantedAt >= newest && may(p, other) {
+				newest, pick = p.Lease.GrantedAt, ledger.Assignment{Job: p.Job, Task: p.Task, Worker: w.ID()}
 			}
 		}
 	}
--- a/core/follow/follow.go
+++ b/core/follow/follow.go
@@ -18,136 +18,138 @@
 )
 
 const (
-	subscribed  = 3 * time.Second
-	directFor   = 5 * time.Second
-	askEach     = 500 * time.Millisecond
-	resendAfter = 800 * time.Millisecond
-	bounceWait  = 60 * time.Millisecond
-	freshFor    = 2 * time.Second
-	lostAfter   = 4 * time.Second
+	subscriptionTTL        = 3 * time.Second
+	directSubscriptionTime = 5 * time.Second
+	subscribeInterval      = 500 * time.Millisecond
+	retryInterval          = 800 * time.Millisecond
+	redirectDelay          = 60 * time.Millisecond
+	freshnessBound         = 2 * time.Second
+	primaryTimeout         = 4 * time.Second
 )
 
-type request struct {
-	body   wire.CommandBody
-	sentAt time.Duration
-	again  time.Duration
-	cutoff time.Duration
+type pendingCommand struct {
+	body     wire.CommandRequest
+	sentAt   time.Duration
+	retryAt  time.Duration
+	deadline time.Duration
 }
 
 // Result is a command's end.
-type Result struct {
-	ID     uint64
-	At     uint64
-	Answer ledger.Answer
+type CommandResult struct {
+	ID           uint64
+	AppliedIndex uint64
+	Result       ledger.Result
 }
 
 type subscriber struct {
-	at    ledger.Position
-	until time.Duration
+	position  ledger.LogPosition
+	expiresAt time.Duration
 }
 
-type Copy struct {
-	Ledger   *ledger.Ledger
-	Keepers  []string
-	self     string
-	site     string
-	home     string
-	direct   time.Duration
-	tail     ledger.Tail
-	subs     map[string]subscriber
-	primary  string
-	turn     int
-	next     uint64
-	requests map[uint64]request
-	askedAt  time.Duration
-	heardAt  time.Duration
-	loaded   bool
-	leaving  bool
-	heard    bool // whether the keeper asked last has said anything, if only who leads
+type ReadReplica struct {
+	Store           *ledger.Store
+	Replicas        []string
+	self            string
+	zone            string
+	zoneRelay       string
+	directUntil     time.Duration
+	logTail         ledger.LogSuffix
+	subscribers     map[string]subscriber
+	primary         string
+	rotation        int
+	lastCommandID   uint64
+	pending         map[uint64]pendingCommand
+	subscribedAt    time.Duration
+	confirmedAt     time.Duration
+	loaded          bool
+	leaving         bool
+	targetResponded bool // whether the keeper asked last has said anything, if only who leads
 }
 
 // New takes the daemon's address and site, and the first command number, which
 // should differ between two runs of one process.
-func New(self, site string, first uint64) *Copy {
-	return &Copy{Ledger: ledger.New(), self: self, site: site, next: first, requests: map[uint64]request{}, subs: map[string]subscriber{}}
+func NewReadReplica(self, zone string, firstCommandID uint64) *ReadReplica {
+	return &ReadReplica{Store: ledger.New(), self: self, zone: zone, lastCommandID: firstCommandID, pending: map[uint64]pendingCommand{}, subscribers: map[string]subscriber{}}
 }
 
 // Fresh says whether the copy was confirmed a moment ago by a proven primary.
-func (c *Copy) Fresh(now time.Duration) bool { return c.loaded && now-c.heardAt < freshFor }
+func (r *ReadReplica) Fresh(now time.Duration) bool {
+	return r.loaded && now-r.confirmedAt < freshnessBound
+}
 
 // Lost says whether no proven primary has been heard of for so long that asking
 // for a write now would only make the caller wait.
-func (c *Copy) Lost(now time.Duration) bool { return now-c.heardAt > lostAfter }
+func (r *ReadReplica) PrimaryLost(now time.Duration) bool { return now-r.confirmedAt > primaryTimeout }
 
-func (c *Copy) Loaded() bool { return c.loaded }
+func (r *ReadReplica) Loaded() bool { return r.loaded }
 
 // View is the copy's ledger; Own says that it is not the primary's own.
-func (c *Copy) View() *ledger.Ledger { return c.Ledger }
-func (c *Copy) Own() bool            { return false }
+func (r *ReadReplica) State() *ledger.Store { return r.Store }
+func (r *ReadReplica) IsLocal() bool        { return false }
 
 // Proven says no more of a copy than that it is fresh.
-func (c *Copy) Proven(now time.Duration) bool { return c.Fresh(now) }
+func (r *ReadReplica) LeadershipConfirmed(now time.Duration) bool { return r.Fresh(now) }
 
 // Time is that of the last command the copy has.
-func (c *Copy) Time(time.Duration) time.Duration { return c.Ledger.At() }
+func (r *ReadReplica) Time(time.Duration) time.Duration { return r.Store.Now() }
 
 // Submit sends a command and gives the number its result will carry.
-func (c *Copy) Submit(now time.Duration, cmd ledger.Command, wait time.Duration, out *machine.Output) uint64 {
-	c.next++
-	r := request{body: wire.CommandBody{ID: c.next, Command: cmd}, cutoff: now + wait}
-	c.requests[c.next] = c.transmit(now, r, out)
-	return c.next
+func (r *ReadReplica) Submit(now time.Duration, command ledger.Command, timeout time.Duration, out *machine.Output) uint64 {
+	r.lastCommandID++
+	pending := pendingCommand{body: wire.CommandRequest{ID: r.lastCommandID, Command: command}, deadline: now + timeout}
+	r.pending[r.lastCommandID] = r.sendCommand(now, pending, out)
+	return r.lastCommandID
 }
 
-func (c *Copy) transmit(now time.Duration, r request, out *machine.Output) request {
-	if c.primary == "" {
-		c.rotate()
+func (r *ReadReplica) sendCommand(now time.Duration, pending pendingCommand, out *machine.Output) pendingCommand {
+	if r.primary == "" {
+		r.selectNextReplica()
 	}
-	if c.primary != "" {
-		out.Send(c.primary, wire.Command, r.body)
+	if r.primary != "" {
+		out.Send(r.primary, wire.KindCommand, pending.body)
 	}
-	r.sentAt, r.again = now, now+resendAfter
-	if c.primary == "" {
-		r.again = now + bounceWait
+	pending.sentAt, pending.retryAt = now, now+retryInterval
+	if r.primary == "" {
+		pending.retryAt = now + redirectDelay
 	}
-	return r
+	return pending
 }
 
-func (c *Copy) rotate() {
-	if len(c.Keepers) > 0 {
-		c.turn++
-		c.primary = c.Keepers[c.turn%len(c.Keepers)]
+func (r *ReadReplica) selectNextReplica() {
+	if len(r.Replicas) > 0 {
+		r.rotation++
+		r.primary = r.Replicas[r.rotation%len(r.Replicas)]
 	}
 }
 
 // Line takes a line meant for the copy.
-func (c *Copy) Line(now time.Duration, line machine.Line, out *machine.Output) (results []Result, handled bool) {
+func (r *ReadReplica) Receive(now time.Duration, line machine.Message, out *machine.Output) (results []CommandResult, handled bool) {
 	var err error
 	switch line.Kind {
-	case wire.Nodes:
-		var b wire.Gossip
-		if err = machine.Unmarshal(line.Body, &b); err == nil {
-			c.know(b.Nodes)
+	case wire.KindNodeList:
+		var body wire.Gossip
+		if err = machine.Unmarshal(line.Body, &body); err == nil {
+			r.updateNodes(body.Nodes)
 		}
-	case wire.CommandBack:
-		var b wire.CommandBackBody
-		if err = machine.Unmarshal(line.Body, &b); err == nil {
-			results = c.answered(now, line.From, b)
+	case wire.KindCommandReply:
+		var body wire.CommandReply
+		if err = machine.Unmarshal(line.Body, &body); err == nil {
+			results = r.handleCommandReply(now, line.From, body)
 		}
-	case wire.News:
-		var b wire.NewsBody
-		if err = machine.Unmarshal(line.Body, &b); err == nil {
-			c.news(now, line.From, b, out)
+	case wire.KindFeedUpdate:
+		var body wire.FeedUpdate
+		if err = machine.Unmarshal(line.Body, &body); err == nil {
+			r.handleUpdate(now, line.From, body, out)
 		}
-	case wire.Follow:
-		var b wire.FollowBody
-		switch err = machine.Unmarshal(line.Body, &b); {
+	case wire.KindSubscribe:
+		var body wire.SubscribeRequest
+		switch err = machine.Unmarshal(line.Body, &body); {
 		case err != nil:
-		case c.leaving:
-			c.sendOff(line.From, b.At, out)
+		case r.leaving:
+			r.rejectSubscriber(line.From, body.Position, out)
 		default:
-			c.subs[line.From] = subscriber{b.At, now + subscribed}
-			c.pass(now, line.From, out)
+			r.subscribers[line.From] = subscriber{body.Position, now + subscriptionTTL}
+			r.publish(now, line.From, out)
 		}
 	default:
 		return nil, false
@@ -158,205 +160,205 @@
 	return results, true
 }
 
-func (c *Copy) hint(from, primary string) {
+func (r *ReadReplica) redirect(from, primary string) {
 	switch {
-	case primary != "" && from == c.primary:
-		c.primary = primary
-	case from == c.primary:
-		c.rotate()
+	case primary != "" && from == r.primary:
+		r.primary = primary
+	case from == r.primary:
+		r.selectNextReplica()
 	}
 }
 
-func (c *Copy) answered(now time.Duration, from string, b wire.CommandBackBody) []Result {
-	r, ok := c.requests[b.ID]
+func (r *ReadReplica) handleCommandReply(now time.Duration, from string, reply wire.CommandReply) []CommandResult {
+	pending, ok := r.pending[reply.ID]
 	if !ok {
 		return nil
 	}
-	if b.Answer.Code == code.NotPrimary {
-		c.hint(from, b.Primary)
-		r.again = now + bounceWait
-		c.requests[b.ID] = r
+	if reply.Result.Code == code.NotPrimary {
+		r.redirect(from, reply.Primary)
+		pending.retryAt = now + redirectDelay
+		r.pending[reply.ID] = pending
 		return nil
 	}
-	delete(c.requests, b.ID)
-	return []Result{{b.ID, b.At, b.Answer}}
+	delete(r.pending, reply.ID)
+	return []CommandResult{{reply.ID, reply.AppliedIndex, reply.Result}}
 }
 
-func (c *Copy) news(now time.Duration, from string, b wire.NewsBody, out *machine.Output) {
-	c.heard = c.heard || from == c.primary
-	if b.Bounced {
+func (r *ReadReplica) handleUpdate(now time.Duration, from string, update wire.FeedUpdate, out *machine.Output) {
+	r.targetResponded = r.targetResponded || from == r.primary
+	if update.Rejected {
 		switch {
-		case b.Relayed:
-			c.direct = now + directFor
-		case b.Primary != "" && b.Epoch > c.Ledger.Position().Epoch:
-			c.lead(now, b.Primary)
+		case update.Relayed:
+			r.directUntil = now + directSubscriptionTime
+		case update.Primary != "" && update.Epoch > r.Store.Position().Epoch:
+			r.setPrimary(now, update.Primary)
 		default:
-			c.hint(from, b.Primary)
+			r.redirect(from, update.Primary)
 		}
-		c.askedAt = min(c.askedAt, now-askEach+bounceWait)
+		r.subscribedAt = min(r.subscribedAt, now-subscribeInterval+redirectDelay)
 		return
 	}
-	at := c.Ledger.Position()
-	if b.Epoch < at.Epoch || b.At.Sequence < at.Sequence {
+	position := r.Store.Position()
+	if update.Epoch < position.Epoch || update.Position.Index < position.Index {
 		return
 	}
-	if len(b.Records) > 0 {
-		l, err := ledger.Load(b.Records)
+	if len(update.Records) > 0 {
+		store, err := ledger.Load(update.Records)
 		if err != nil {
 			out.Log("news_damaged", "from", from, "why", err.Error())
 			return
 		}
-		c.Ledger, c.tail = l, ledger.TailFrom(l.Position())
+		r.Store, r.logTail = store, ledger.NewLogSuffix(store.Position())
 	}
-	for _, encoded := range b.Commands {
+	for _, encoded := range update.Commands {
 		cmd, err := ledger.Decode(encoded)
 		if err != nil {
 			out.Log("news_damaged", "from", from, "why", err.Error())
 			return
 		}
 		switch {
-		case cmd.Sequence <= c.Ledger.Position().Sequence:
-		case cmd.Sequence == c.Ledger.Position().Sequence+1:
-			c.Ledger.Apply(cmd.Command)
-			c.tail.Add(cmd)
+		case cmd.Index <= r.Store.Position().Index:
+		case cmd.Index == r.Store.Position().Index+1:
+			r.Store.Apply(cmd.Command)
+			r.logTail.Append(cmd)
 		default:
-			c.ask(now, out)
+			r.subscribe(now, out)
 			return
 		}
 	}
-	c.Ledger.ForgetEntries()
-	if b.At == c.Ledger.Position() {
-		c.heardAt, c.loaded = max(c.heardAt, now-b.Age), true
-		if !b.Relayed {
-			b.Primary = from
+	r.Store.DiscardAuditEntries()
+	if update.Position == r.Store.Position() {
+		r.confirmedAt, r.loaded = max(r.confirmedAt, now-update.Age), true
+		if !update.Relayed {
+			update.Primary = from
 		}
-		c.lead(now, b.Primary)
-	} else if b.At.Sequence > c.Ledger.Position().Sequence {
-		c.ask(now, out)
+		r.setPrimary(now, update.Primary)
+	} else if update.Position.Index > r.Store.Position().Index {
+		r.subscribe(now, out)
 	}
-	if len(b.Commands) > 0 || len(b.Records) > 0 {
-		for _, to := range slices.Sorted(maps.Keys(c.subs)) {
-			c.pass(now, to, out)
+	if len(update.Commands) > 0 || len(update.Records) > 0 {
+		for _, to := range slices.Sorted(maps.Keys(r.subscribers)) {
+			r.publish(now, to, out)
 		}
 	}
 }
 
 // lead takes word of the primary that serves; what waits for an answer from
 // another is sent again at once.
-func (c *Copy) lead(now time.Duration, primary string) {
-	if primary == "" || primary == c.primary {
+func (r *ReadReplica) setPrimary(now time.Duration, primary string) {
+	if primary == "" || primary == r.primary {
 		return
 	}
-	c.primary = primary
-	for id, r := range c.requests {
-		r.again = now
-		c.requests[id] = r
+	r.primary = primary
+	for id, pending := range r.pending {
+		pending.retryAt = now
+		r.pending[id] = pending
 	}
 }
 
 // know takes the nodes: the keepers, and the home of the site's news, which is
 // the daemon of the site that ranks highest by a hash of its address.
-func (c *Copy) know(nodes []wire.Node) {
-	c.Keepers, c.home = nil, ""
-	var best uint64
-	for _, n := range nodes {
-		if n.Role == "keeper" {
-			c.Keepers = append(c.Keepers, n.Address)
-		} else if n.Site == c.site {
-			h := fnv.New64a()
-			h.Write([]byte("ledger\x00" + n.Address))
-			if rank := h.Sum64(); c.home == "" || rank > best {
-				c.home, best = n.Address, rank
+func (r *ReadReplica) updateNodes(nodes []wire.Node) {
+	r.Replicas, r.zoneRelay = nil, ""
+	var highest uint64
+	for _, node := range nodes {
+		if node.Role == "keeper" {
+			r.Replicas = append(r.Replicas, node.Address)
+		} else if node.Zone == r.zone {
+			hash := fnv.New64a()
+			hash.Write([]byte("ledger\x00" + node.Address))
+			if rank := hash.Sum64(); r.zoneRelay == "" || rank > highest {
+				r.zoneRelay, highest = node.Address, rank
 			}
 		}
 	}
 }
 
 // pass hands news on to one subscriber, from where it stands.
-func (c *Copy) pass(now time.Duration, to string, out *machine.Output) {
-	s := c.subs[to]
-	if now > s.until {
-		delete(c.subs, to)
+func (r *ReadReplica) publish(now time.Duration, to string, out *machine.Output) {
+	s := r.subscribers[to]
+	if now > s.expiresAt {
+		delete(r.subscribers, to)
 		return
 	}
-	if !c.Fresh(now) {
-		c.sendOff(to, s.at, out)
+	if !r.Fresh(now) {
+		r.rejectSubscriber(to, s.position, out)
 		return
 	}
-	body := wire.NewsBody{Relayed: true, Age: now - c.heardAt, Primary: c.primary, Epoch: c.Ledger.Position().Epoch, After: s.at, At: c.Ledger.Position()}
-	if commands, ok := c.tail.Since(s.at); ok {
-		body.Commands = commands
+	update := wire.FeedUpdate{Relayed: true, Age: now - r.confirmedAt, Primary: r.primary, Epoch: r.Store.Position().Epoch, Previous: s.position, Position: r.Store.Position()}
+	if commands, ok := r.logTail.CommandsAfter(s.position); ok {
+		update.Commands = commands
 	} else {
-		body.Records = c.Ledger.Records()
+		update.Records = r.Store.Records()
 	}
-	c.subs[to] = subscriber{body.At, s.until}
-	out.Send(to, wire.News, body)
+	r.subscribers[to] = subscriber{update.Position, s.expiresAt}
+	out.Send(to, wire.KindFeedUpdate, update)
 }
 
 // sendOff tells a subscriber to ask the primary itself for a while.
-func (c *Copy) sendOff(to string, at ledger.Position, out *machine.Output) {
-	out.Send(to, wire.News, wire.NewsBody{Relayed: true, Bounced: true, At: at, After: at})
+func (r *ReadReplica) rejectSubscriber(to string, position ledger.LogPosition, out *machine.Output) {
+	out.Send(to, wire.KindFeedUpdate, wire.FeedUpdate{Relayed: true, Rejected: true, Position: position, Previous: position})
 }
 
 // Leave ends the passing on of news before the process goes, so that subscribers
 // ask the primary at once, not only when they have noticed the silence.
-func (c *Copy) Leave(out *machine.Output) {
-	c.leaving = true
-	for _, to := range slices.Sorted(maps.Keys(c.subs)) {
-		c.sendOff(to, c.subs[to].at, out)
+func (r *ReadReplica) Stop(out *machine.Output) {
+	r.leaving = true
+	for _, to := range slices.Sorted(maps.Keys(r.subscribers)) {
+		r.rejectSubscriber(to, r.subscribers[to].position, out)
 	}
-	clear(c.subs)
+	clear(r.subscribers)
 }
 
 // ask renews the subscription: at the site's home, or at the primary itself if
 // this is the home or the home has had no news lately.
-func (c *Copy) ask(now time.Duration, out *machine.Output) {
-	c.askedAt, c.heard = now, false
-	if c.home != "" && c.home != c.self && now >= c.direct {
-		if now-c.heardAt <= 2*askEach+bounceWait || !c.loaded {
-			out.Send(c.home, wire.Follow, wire.FollowBody{At: c.Ledger.Position()})
-			if c.loaded {
+func (r *ReadReplica) subscribe(now time.Duration, out *machine.Output) {
+	r.subscribedAt, r.targetResponded = now, false
+	if r.zoneRelay != "" && r.zoneRelay != r.self && now >= r.directUntil {
+		if now-r.confirmedAt <= 2*subscribeInterval+redirectDelay || !r.loaded {
+			out.Send(r.zoneRelay, wire.KindSubscribe, wire.SubscribeRequest{Position: r.Store.Position()})
+			if r.loaded {
 				return
 			}
 		} else {
-			c.direct = now + directFor
+			r.directUntil = now + directSubscriptionTime
 		}
 	}
-	if c.primary == "" {
-		c.rotate()
+	if r.primary == "" {
+		r.selectNextReplica()
 	}
-	if c.primary != "" {
-		out.Send(c.primary, wire.Follow, wire.FollowBody{At: c.Ledger.Position()})
+	if r.primary != "" {
+		out.Send(r.primary, wire.KindSubscribe, wire.SubscribeRequest{Position: r.Store.Position()})
 	}
 }
 
 // Wake sends again what was not answered and renews the subscription.
-func (c *Copy) Wake(now time.Duration, out *machine.Output) []Result {
-	var results []Result
-	if now-c.askedAt >= askEach {
-		if !c.heard && (!c.loaded || now-c.heardAt > freshFor && (c.home == "" || c.home == c.self || now < c.direct)) {
-			c.rotate()
+func (r *ReadReplica) HandleTimers(now time.Duration, out *machine.Output) []CommandResult {
+	var results []CommandResult
+	if now-r.subscribedAt >= subscribeInterval {
+		if !r.targetResponded && (!r.loaded || now-r.confirmedAt > freshnessBound && (r.zoneRelay == "" || r.zoneRelay == r.self || now < r.directUntil)) {
+			r.selectNextReplica()
 		}
-		c.ask(now, out)
+		r.subscribe(now, out)
 	}
-	ids := make([]uint64, 0, len(c.requests))
-	for id := range c.requests {
+	ids := make([]uint64, 0, len(r.pending))
+	for id := range r.pending {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		r := c.requests[id]
+		pending := r.pending[id]
 		switch {
-		case now >= r.cutoff:
-			delete(c.requests, id)
-			results = append(results, Result{ID: id, Answer: ledger.Answer{
-				Code: code.NoAuthority, Why: "no keeper answered in time; the request may still take effect", RetryAfter: time.Second,
+		case now >= pending.deadline:
+			delete(r.pending, id)
+			results = append(results, CommandResult{ID: id, Result: ledger.Result{
+				Code: code.ReplicasUnavailable, Reason: "no keeper answered in time; the request may still take effect", RetryAfter: time.Second,
 			}})
-		case now >= r.again:
-			if now-r.sentAt >= resendAfter && now-c.heardAt > resendAfter {
-				c.rotate()
+		case now >= pending.retryAt:
+			if now-pending.sentAt >= retryInterval && now-r.confirmedAt > retryInterval {
+				r.selectNextReplica()
 			}
-			c.requests[id] = c.transmit(now, r, out)
+			r.pending[id] = r.sendCommand(now, pending, out)
 		}
 	}
 	return results
--- a/core/follow/follow_test.go
+++ b/core/follow/follow_test.go
@@ -12,54 +12,54 @@
 // TestAHomeOfNewsThatGoesSaysSo: a daemon that passes news on to others of its
 // site goes down in good order; they ask the primary within bounceWait, and are
 // sent on as well if they ask it once more.
-func TestAHomeOfNewsThatGoesSaysSo(t *testing.T) {
+func TestStoppingZoneRelayRejectsSubscribers(t *testing.T) {
 	const ms = time.Millisecond
-	nodes := machine.MustMarshal(wire.Gossip{Nodes: []wire.Node{{Role: "keeper", Address: "k0"}, {Role: "front", Site: "s", Address: "a"}, {Role: "front", Site: "s", Address: "b"}}})
-	a, b := New("a", "s", 1), New("b", "s", 1)
-	line := func(c *Copy, at time.Duration, from, kind string, body any) map[string][]string {
+	nodes := machine.MustMarshal(wire.Gossip{Nodes: []wire.Node{{Role: "keeper", Address: "k0"}, {Role: "front", Zone: "s", Address: "a"}, {Role: "front", Zone: "s", Address: "b"}}})
+	a, b := NewReadReplica("a", "s", 1), NewReadReplica("b", "s", 1)
+	deliver := func(r *ReadReplica, at time.Duration, from, kind string, body any) map[string][]string {
 		var out machine.Output
 		if raw, ok := body.([]byte); ok {
-			c.Line(at, machine.Line{Kind: kind, From: from, Body: raw}, &out)
+			r.Receive(at, machine.Message{Kind: kind, From: from, Body: raw}, &out)
 		} else {
-			c.Line(at, machine.Line{Kind: kind, From: from, Body: machine.MustMarshal(body)}, &out)
+			r.Receive(at, machine.Message{Kind: kind, From: from, Body: machine.MustMarshal(body)}, &out)
 		}
-		return sent(out)
+		return sentKinds(out)
 	}
-	line(a, 0, "", wire.Nodes, nodes)
-	line(b, 0, "", wire.Nodes, nodes)
-	home, other := a, b
-	if a.home == "b" {
-		home, other = b, a
+	deliver(a, 0, "", wire.KindNodeList, nodes)
+	deliver(b, 0, "", wire.KindNodeList, nodes)
+	relay, other := a, b
+	if a.zoneRelay == "b" {
+		relay, other = b, a
 	}
-	position := ledger.Position{Epoch: 1, Sequence: 0}
-	news := wire.NewsBody{Epoch: 1, At: position, Records: ledger.New().Records()}
-	news.At = ledger.New().Position()
-	line(home, 10*ms, "k0", wire.News, news)
-	line(other, 10*ms, "k0", wire.News, news)
-	if !home.Fresh(10*ms) || !other.Fresh(10*ms) {
+	position := ledger.LogPosition{Epoch: 1, Index: 0}
+	update := wire.FeedUpdate{Epoch: 1, Position: position, Records: ledger.New().Records()}
+	update.Position = ledger.New().Position()
+	deliver(relay, 10*ms, "k0", wire.KindFeedUpdate, update)
+	deliver(other, 10*ms, "k0", wire.KindFeedUpdate, update)
+	if !relay.Fresh(10*ms) || !other.Fresh(10*ms) {
 		t.Fatal("the copies are not loaded")
 	}
-	line(home, 20*ms, other.self, wire.Follow, wire.FollowBody{At: news.At})
+	deliver(relay, 20*ms, other.self, wire.KindSubscribe, wire.SubscribeRequest{Position: update.Position})
 	var out machine.Output
-	home.Leave(&out)
-	if got := sent(out)[other.self]; len(got) != 1 || got[0] != wire.News {
+	relay.Stop(&out)
+	if got := sentKinds(out)[other.self]; len(got) != 1 || got[0] != wire.KindFeedUpdate {
 		t.Fatalf("the home goes and tells its subscriber %v", got)
 	}
-	line(other, 30*ms, home.self, wire.News, out.Sends[0].Body)
+	deliver(other, 30*ms, relay.self, wire.KindFeedUpdate, out.Messages[0].Body)
 	out = machine.Output{}
-	other.Wake(30*ms+bounceWait, &out)
-	if got := sent(out)["k0"]; len(got) != 1 || got[0] != wire.Follow {
-		t.Errorf("the subscriber asks %v", sent(out))
+	other.HandleTimers(30*ms+redirectDelay, &out)
+	if got := sentKinds(out)["k0"]; len(got) != 1 || got[0] != wire.KindSubscribe {
+		t.Errorf("the subscriber asks %v", sentKinds(out))
 	}
-	if got := line(home, 120*ms, other.self, wire.Follow, wire.FollowBody{At: news.At})[other.self]; len(got) != 1 || got[0] != wire.News || len(home.subs) != 0 {
-		t.Errorf("one that asks a home that goes hears %v, and it has %d subscribers", got, len(home.subs))
+	if got := deliver(relay, 120*ms, other.self, wire.KindSubscribe, wire.SubscribeRequest{Position: update.Position})[other.self]; len(got) != 1 || got[0] != wire.KindFeedUpdate || len(relay.subscribers) != 0 {
+		t.Errorf("one that asks a home that goes hears %v, and it has %d subscribers", got, len(relay.subscribers))
 	}
 }
 
 // sent gives the kinds of what was sent, by address.
-func sent(out machine.Output) map[string][]string {
+func sentKinds(out machine.Output) map[string][]string {
 	to := map[string][]string{}
-	for _, s := range out.Sends {
+	for _, s := range out.Messages {
 		to[s.To] = append(to[s.To], s.Kind)
 	}
 	return to
--- a/core/front/front.go
+++ b/core/front/front.go
@@ -24,205 +24,207 @@
 	"sorrelloom/core/wire"
 )
 
-type Env struct {
-	Address string
-	Site    string
-	First   uint64
+type Config struct {
+	Address        string
+	Zone           string
+	FirstCommandID uint64
 }
 
 // The kinds of requests that a front takes.
 const (
-	Submit    = "submit"
-	Status    = "status"
-	Cancel    = "cancel"
-	Beat      = "beat"
-	PlanGet   = "plan-get"
-	PlanPut   = "plan-put"
-	PlanPatch = "plan-patch"
-	PlanCheck = "plan-check"
-	Site      = "site"
-	Drain     = "drain"
-	Gone      = "gone"
-	Workers   = "workers"
-	Nodes     = "nodes"
-	Duties    = "duties"
-	Pass      = "pass"
-	Jobs      = "jobs"
+	RequestSubmit         = "submit"
+	RequestStatus         = "status"
+	RequestCancel         = "cancel"
+	RequestHeartbeat      = "beat"
+	RequestConfigGet      = "plan-get"
+	RequestConfigPut      = "plan-put"
+	RequestConfigPatch    = "plan-patch"
+	RequestConfigCheck    = "plan-check"
+	RequestDrainZone      = "site"
+	RequestDrainWorker    = "drain"
+	RequestConfirmDead    = "gone"
+	RequestWorkers        = "workers"
+	RequestNodes          = "nodes"
+	RequestLeaderships    = "duties"
+	RequestMoveLeadership = "pass"
+	RequestJobs           = "jobs"
 )
 
 // operators' are the writes of operators; with the callers' they are the kinds
 // that a keeper must answer.
-var operators = map[string]bool{PlanPut: true, PlanPatch: true, Site: true, Drain: true, Gone: true, Pass: true}
+var operatorWrites = map[string]bool{RequestConfigPut: true, RequestConfigPatch: true, RequestDrainZone: true, RequestDrainWorker: true, RequestConfirmDead: true, RequestMoveLeadership: true}
 
-func writes(kind string) bool { return kind == Submit || kind == Cancel || operators[kind] }
+func isWrite(kind string) bool {
+	return kind == RequestSubmit || kind == RequestCancel || operatorWrites[kind]
+}
 
 const (
-	commandWait = 4 * time.Second
-	beatWait    = 1800 * time.Millisecond
-	holdMax     = time.Second
-	waitMax     = 30 * time.Second
-	passEach    = 50 * time.Millisecond
-	tableMax    = 20000
+	commandTimeout     = 4 * time.Second
+	heartbeatTimeout   = 1800 * time.Millisecond
+	maxHeartbeatWait   = time.Second
+	maxStatusWait      = 30 * time.Second
+	scanInterval       = 50 * time.Millisecond
+	maxPendingRequests = 20000
 )
 
 // Reply is what a front says outward.
 type Reply struct {
-	Status     int
+	StatusCode int
 	RetryAfter time.Duration
 	Body       any
 }
 
 // Outcome is the common part of every outward body.
 type Outcome struct {
-	Code         code.Code    `json:"code"`
-	Name         string       `json:"name"`
-	Why          string       `json:"why,omitempty"`
-	Sequence     uint64       `json:"sequence,omitempty"`
-	RetryAfterMs int64        `json:"retryAfterMs,omitempty"`
-	Faults       []plan.Fault `json:"faults,omitempty"`
+	Code             code.Code        `json:"code"`
+	Name             string           `json:"name"`
+	Reason           string           `json:"why,omitempty"`
+	Version          uint64           `json:"sequence,omitempty"`
+	RetryAfterMillis int64            `json:"retryAfterMs,omitempty"`
+	Faults           []plan.Violation `json:"faults,omitempty"`
 }
 
 type TaskView struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`
-	Worker  string `json:"worker,omitempty"`
-	Tries   int    `json:"tries"`
-	Defects int    `json:"defects"`
-	Losses  int    `json:"losses"`
-	Why     string `json:"why,omitempty"`
+	ID       string `json:"id"`
+	State    string `json:"state"`
+	Worker   string `json:"worker,omitempty"`
+	Attempts int    `json:"tries"`
+	Failures int    `json:"defects"`
+	Losses   int    `json:"losses"`
+	Reason   string `json:"why,omitempty"`
 }
 
 type JobView struct {
 	Outcome
-	ID      string     `json:"id"`
-	State   string     `json:"state"`
-	JobWhy  string     `json:"jobWhy,omitempty"`
-	Service string     `json:"service"`
-	Class   string     `json:"class"`
-	Waits   string     `json:"waits,omitempty"`
-	Past    bool       `json:"past,omitempty"`
-	Tasks   []TaskView `json:"tasks"`
+	ID         string     `json:"id"`
+	State      string     `json:"state"`
+	JobReason  string     `json:"jobWhy,omitempty"`
+	Service    string     `json:"service"`
+	Class      string     `json:"class"`
+	WaitReason string     `json:"waits,omitempty"`
+	Archived   bool       `json:"past,omitempty"`
+	Tasks      []TaskView `json:"tasks"`
 }
 
-type OrdersView struct {
+type HeartbeatView struct {
 	Outcome
-	Orders  ledger.Orders `json:"orders"`
-	LeaseMs int64         `json:"leaseMs"`
+	Reply       ledger.HeartbeatReply `json:"orders"`
+	LeaseMillis int64                 `json:"leaseMs"`
 }
 
 // CheckView is the answer to a plan that passes its checks.
-type CheckView struct {
+type ConfigCheckView struct {
 	Outcome
-	DryRun []ledger.DryRow `json:"dryRun,omitempty"`
+	DryRun []ledger.DryRunRow `json:"dryRun,omitempty"`
 }
 
 type WorkerView struct {
 	ID       string           `json:"id"`
-	Site     string           `json:"site"`
+	Zone     string           `json:"site"`
 	Rack     string           `json:"rack,omitempty"`
 	Service  string           `json:"service"`
 	Labels   []string         `json:"labels,omitempty"`
 	State    string           `json:"state"`
-	Capacity ledger.Room      `json:"capacity"`
-	Free     ledger.Room      `json:"free"`
-	Turns    []ledger.Attempt `json:"turns"`
+	Capacity ledger.Resources `json:"capacity"`
+	Free     ledger.Resources `json:"free"`
+	Leases   []ledger.Attempt `json:"turns"`
 }
 
-type record struct {
-	ask     machine.Ask
-	until   time.Duration
-	command uint64
-	beat    ledger.Beat
-	hold    time.Duration
-	sentTo  string
-	again   time.Duration
-	seen    string
-	tries   int
+type pendingRequest struct {
+	request       machine.Request
+	deadline      time.Duration
+	commandID     uint64
+	heartbeat     ledger.Heartbeat
+	wait          time.Duration
+	sentTo        string
+	retryAt       time.Duration
+	lastSeenState string
+	attempts      int
 }
 
-type Front struct {
-	env      Env
-	copy     *follow.Copy
-	table    map[uint64]record
-	nodes    []wire.Node
-	wakeAt   time.Duration
-	stopping bool
+type Gateway struct {
+	config    Config
+	replica   *follow.ReadReplica
+	requests  map[uint64]pendingRequest
+	nodes     []wire.Node
+	nextTimer time.Duration
+	stopping  bool
 }
 
-func New(env Env) *Front {
-	return &Front{env: env, copy: follow.New(env.Address, env.Site, env.First), table: map[uint64]record{}}
+func New(config Config) *Gateway {
+	return &Gateway{config: config, replica: follow.NewReadReplica(config.Address, config.Zone, config.FirstCommandID), requests: map[uint64]pendingRequest{}}
 }
 
-func (f *Front) Wakeup() time.Duration        { return f.wakeAt }
-func (f *Front) Ready(now time.Duration) bool { return f.copy.Fresh(now) && !f.stopping }
-func (f *Front) Sequence() uint64             { return f.copy.Ledger.Plan().Sequence }
+func (g *Gateway) NextTimer() time.Duration     { return g.nextTimer }
+func (g *Gateway) Ready(now time.Duration) bool { return g.replica.Fresh(now) && !g.stopping }
+func (g *Gateway) ConfigVersion() uint64        { return g.replica.Store.Config().Version }
 
-func (f *Front) Step(now time.Duration, in machine.Input) machine.Output {
+func (g *Gateway) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	var results []follow.Result
+	var results []follow.CommandResult
 	switch {
 	case in.Stop:
-		f.stopping = true
-		f.copy.Leave(&out)
-	case in.Ask.Key > 0:
-		f.take(now, in.Ask, &out)
-	case in.Line.Kind == wire.BeatBack:
-		var b wire.BeatBackBody
-		if err := machine.Unmarshal(in.Line.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Line.Kind, "from", in.Line.From, "why", err.Error())
+		g.stopping = true
+		g.replica.Stop(&out)
+	case in.Request.ID > 0:
+		g.handleRequest(now, in.Request, &out)
+	case in.Message.Kind == wire.KindHeartbeatReply:
+		var b wire.HeartbeatReply
+		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
+			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
 		} else {
-			f.beatBack(now, b, &out)
+			g.handleHeartbeatReply(now, b, &out)
 		}
-	case in.Line.Kind != "":
-		if in.Line.Kind == wire.Nodes {
+	case in.Message.Kind != "":
+		if in.Message.Kind == wire.KindNodeList {
 			var b wire.Gossip
-			if machine.Unmarshal(in.Line.Body, &b) == nil {
-				f.nodes = b.Nodes
+			if machine.Unmarshal(in.Message.Body, &b) == nil {
+				g.nodes = b.Nodes
 			}
 		}
 		var handled bool
-		if results, handled = f.copy.Line(now, in.Line, &out); !handled {
-			out.Log("line_unknown", "kind", in.Line.Kind, "from", in.Line.From)
+		if results, handled = g.replica.Receive(now, in.Message, &out); !handled {
+			out.Log("line_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 		}
 	}
-	results = append(results, f.copy.Wake(now, &out)...)
-	f.pass(now, results, &out)
-	f.copy.Ledger.TakeChanges()
-	f.wakeAt = now + passEach
-	out.Stopped = f.stopping && len(f.table) == 0
+	results = append(results, g.replica.HandleTimers(now, &out)...)
+	g.scan(now, results, &out)
+	g.replica.Store.TakeChanges()
+	g.nextTimer = now + scanInterval
+	out.Stopped = g.stopping && len(g.requests) == 0
 	return out
 }
 
-func (f *Front) answer(key uint64, status int, retry time.Duration, body any, out *machine.Output) {
-	delete(f.table, key)
-	out.Answer(key, Reply{status, retry, body})
+func (g *Gateway) reply(key uint64, status int, retryAfter time.Duration, body any, out *machine.Output) {
+	delete(g.requests, key)
+	out.Respond(key, Reply{status, retryAfter, body})
 }
 
-func outcome(a ledger.Answer) Outcome {
-	return Outcome{Code: a.Code, Name: a.Code.String(), Why: a.Why, Sequence: a.Sequence, RetryAfterMs: a.RetryAfter.Milliseconds(), Faults: a.Faults}
+func outcomeOf(answer ledger.Result) Outcome {
+	return Outcome{Code: answer.Code, Name: answer.Code.String(), Reason: answer.Reason, Version: answer.ConfigVersion, RetryAfterMillis: answer.RetryAfter.Milliseconds(), Faults: answer.Violations}
 }
 
-func (f *Front) bounce(key uint64, a ledger.Answer, out *machine.Output) {
-	if a.Code == code.Stopping {
-		a.RetryAfter = 50 * time.Millisecond
-	} else if status := a.Code.Status(); status == 503 || status == 429 {
-		a.RetryAfter = comeBack(key, max(a.RetryAfter, time.Second))
+func (g *Gateway) reject(key uint64, answer ledger.Result, out *machine.Output) {
+	if answer.Code == code.ShuttingDown {
+		answer.RetryAfter = 50 * time.Millisecond
+	} else if statusCode := answer.Code.HTTPStatus(); statusCode == 503 || statusCode == 429 {
+		answer.RetryAfter = spreadRetry(key, max(answer.RetryAfter, time.Second))
 	}
-	f.answer(key, a.Code.Status(), a.RetryAfter, outcome(a), out)
+	g.reply(key, answer.Code.HTTPStatus(), answer.RetryAfter, outcomeOf(answer), out)
 }
 
-func bounced(c code.Code, format string, args ...any) ledger.Answer {
-	return ledger.Answer{Code: c, Why: fmt.Sprintf(format, args...)}
+func rejection(c code.Code, format string, args ...any) ledger.Result {
+	return ledger.Result{Code: c, Reason: fmt.Sprintf(format, args...)}
 }
 
 // comeBack spreads those who are sent away over a second, so that a crowd does
 // not return as one.
-func comeBack(key uint64, at time.Duration) time.Duration {
-	return at + time.Duration(key*2654435761%1000)*time.Millisecond
+func spreadRetry(key uint64, retryAfter time.Duration) time.Duration {
+	return retryAfter + time.Duration(key*2654435761%1000)*time.Millisecond
 }
 
 // strict decodes exactly one JSON value without unknown fields.
-func strict(data []byte, v any) error {
+func decodeStrict(data []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(v)
@@ -244,285 +246,285 @@
 }
 
 // take checks a new request, answers what the copy can answer, routes the rest.
-func (f *Front) take(now time.Duration, ask machine.Ask, out *machine.Output) {
-	if f.stopping {
-		f.bounce(ask.Key, bounced(code.Stopping, "this front is going down"), out)
+func (g *Gateway) handleRequest(now time.Duration, request machine.Request, out *machine.Output) {
+	if g.stopping {
+		g.reject(request.ID, rejection(code.ShuttingDown, "this front is going down"), out)
 		return
 	}
-	if len(f.table) >= tableMax {
-		f.bounce(ask.Key, bounced(code.InboxFull, "this front has %d requests open", len(f.table)), out)
+	if len(g.requests) >= maxPendingRequests {
+		g.reject(request.ID, rejection(code.QueueFull, "this front has %d requests open", len(g.requests)), out)
 		return
 	}
-	if writes(ask.Kind) && f.copy.Lost(now) || operators[ask.Kind] && !f.copy.Loaded() {
-		f.bounce(ask.Key, bounced(code.NoAuthority, "no keeper has been heard of for a while"), out)
+	if isWrite(request.Kind) && g.replica.PrimaryLost(now) || operatorWrites[request.Kind] && !g.replica.Loaded() {
+		g.reject(request.ID, rejection(code.ReplicasUnavailable, "no keeper has been heard of for a while"), out)
 		return
 	}
-	r := record{ask: ask, until: now + commandWait}
-	command := ledger.Command{Name: ask.Name}
-	if operators[ask.Kind] {
-		command.Token, command.Asked = ask.Token, f.copy.Ledger.At()
-		if command.Token == "" {
-			command.Token = fmt.Sprintf("%s/%x/%d", f.env.Address, f.env.First, ask.Key)
+	pending := pendingRequest{request: request, deadline: now + commandTimeout}
+	command := ledger.Command{Name: request.Name}
+	if operatorWrites[request.Kind] {
+		command.IdempotencyKey, command.RequestedAt = request.IdempotencyKey, g.replica.Store.Now()
+		if command.IdempotencyKey == "" {
+			command.IdempotencyKey = fmt.Sprintf("%s/%x/%d", g.config.Address, g.config.FirstCommandID, request.ID)
 		}
 	}
-	switch ask.Kind {
-	case Submit:
+	switch request.Kind {
+	case RequestSubmit:
 		var spec ledger.JobSpec
-		if err := strict(ask.Body, &spec); err != nil {
-			f.bounce(ask.Key, bounced(code.Malformed, "%s", err), out)
+		if err := decodeStrict(request.Body, &spec); err != nil {
+			g.reject(request.ID, rejection(code.Malformed, "%s", err), out)
 			return
 		}
-		spec = ledger.Normal(spec)
-		if a := f.copy.Ledger.Check(spec); f.copy.Loaded() && a.Code == code.BadJob {
-			f.bounce(ask.Key, a, out)
+		spec = ledger.Normalize(spec)
+		if a := g.replica.Store.ValidateJob(spec); g.replica.Loaded() && a.Code == code.InvalidJob {
+			g.reject(request.ID, a, out)
 			return
 		}
-		command = ledger.Command{Kind: ledger.KindAccept, Accept: spec}
-	case Cancel:
-		command.Kind = ledger.KindCancel
-	case Status:
-		f.status(now, r, out)
+		command = ledger.Command{Kind: ledger.KindAcceptJob, Job: spec}
+	case RequestCancel:
+		command.Kind = ledger.KindCancelJob
+	case RequestStatus:
+		g.handleStatus(now, pending, out)
 		return
-	case Beat:
-		f.beat(now, r, out)
+	case RequestHeartbeat:
+		g.handleHeartbeat(now, pending, out)
 		return
-	case Site:
-		command.Kind, command.On = ledger.KindSite, ask.On
-	case Drain:
-		command.Kind, command.On = ledger.KindDrain, ask.On
-	case Gone:
-		command.Kind = ledger.KindGone
-	case Pass:
-		command.Kind, command.Name = ledger.KindMove, scheduler.DutyOf(ask.Name)
-		command.Hello.For = ask.To
-	case PlanPut, PlanPatch:
-		if !json.Valid(ask.Body) {
+	case RequestDrainZone:
+		command.Kind, command.Drain = ledger.KindDrainZone, request.Enable
+	case RequestDrainWorker:
+		command.Kind, command.Drain = ledger.KindDrainWorker, request.Enable
+	case RequestConfirmDead:
+		command.Kind = ledger.KindConfirmWorkerDead
+	case RequestMoveLeadership:
+		command.Kind, command.Name = ledger.KindTransferLeadership, scheduler.LeadershipOf(request.Name)
+		command.SchedulerHeartbeat.Candidate = request.Target
+	case RequestConfigPut, RequestConfigPatch:
+		if !json.Valid(request.Body) {
 			var body any
-			f.bounce(ask.Key, bounced(code.Malformed, "%s", strict(ask.Body, &body)), out)
+			g.reject(request.ID, rejection(code.Malformed, "%s", decodeStrict(request.Body, &body)), out)
 			return
 		}
-		command.Kind = ledger.KindPlan
-		command.Plan = ledger.PlanChange{Base: ask.Base, Forced: ask.Forced, Patch: ask.Kind == PlanPatch, Body: ask.Body}
+		command.Kind = ledger.KindChangeConfig
+		command.ConfigChange = ledger.ConfigChange{BaseVersion: request.BaseVersion, Forced: request.Force, Patch: request.Kind == RequestConfigPatch, Body: request.Body}
 	default:
-		f.look(now, ask, out)
+		g.handleQuery(now, request, out)
 		return
 	}
-	r.command = f.copy.Submit(now, command, commandWait, out)
-	f.table[ask.Key] = r
+	pending.commandID = g.replica.Submit(now, command, commandTimeout, out)
+	g.requests[request.ID] = pending
 }
 
-func (f *Front) viewJob(job ledger.Job, a ledger.Answer) JobView {
-	v := JobView{Outcome: outcome(a), ID: job.Spec.ID, State: job.State, JobWhy: job.Why, Service: job.Spec.Service, Class: job.Spec.Class, Tasks: []TaskView{}, Past: len(job.Tasks) == 0}
+func (g *Gateway) jobView(job ledger.Job, answer ledger.Result) JobView {
+	view := JobView{Outcome: outcomeOf(answer), ID: job.Spec.ID, State: job.State, JobReason: job.Reason, Service: job.Spec.Service, Class: job.Spec.Class, Tasks: []TaskView{}, Archived: len(job.Tasks) == 0}
 	for i, t := range job.Tasks {
-		state, worker := t.State, t.Holder
-		if t.Turn.Held() {
-			worker = t.Turn.Worker
-			w, _ := f.copy.Ledger.Worker(worker)
+		taskState, worker := t.State, t.CompletedOn
+		if t.Lease.Held() {
+			worker = t.Lease.Worker
+			w, _ := g.replica.Store.Worker(worker)
 			switch {
-			case t.Closed():
-				state = "stopping"
-			case !f.copy.Ledger.Live(w):
-				state = "unheard"
-			case t.Turn.StartedAt == 0:
-				state = "granted"
+			case t.Terminal():
+				taskState = "stopping"
+			case !g.replica.Store.Live(w):
+				taskState = "unheard"
+			case t.Lease.StartedAt == 0:
+				taskState = "granted"
 			default:
-				state = ledger.Running
+				taskState = ledger.Running
 			}
 		}
-		v.Tasks = append(v.Tasks, TaskView{job.Spec.Tasks[i].ID, state, worker, t.Tries, t.Defects, t.Losses, t.Why})
+		view.Tasks = append(view.Tasks, TaskView{job.Spec.Tasks[i].ID, taskState, worker, t.Attempts, t.Failures, t.Losses, t.Reason})
 	}
-	return v
+	return view
 }
 
 // known is a job's view from the copy, with the reason why it waits.
-func (f *Front) known(job ledger.Job) JobView {
-	v := f.viewJob(job, ledger.Answer{})
-	v.Waits = f.copy.Ledger.Explain(job.Spec.ID)
-	return v
+func (g *Gateway) waitingJobView(job ledger.Job) JobView {
+	view := g.jobView(job, ledger.Result{})
+	view.WaitReason = g.replica.Store.Explain(job.Spec.ID)
+	return view
 }
 
 // status answers from the copy where it can. A job that the copy does not know
 // is asked for at the keepers, since "unknown" must never be said of a job that
 // was accepted a moment ago, or elsewhere.
-func (f *Front) status(now time.Duration, r record, out *machine.Output) {
-	job, ok := f.copy.Ledger.Job(r.ask.Name)
-	if !ok || !f.copy.Fresh(now) {
-		r.command = f.copy.Submit(now, ledger.Command{Kind: ledger.KindRead, Name: r.ask.Name}, commandWait, out)
-		f.table[r.ask.Key] = r
+func (g *Gateway) handleStatus(now time.Duration, pending pendingRequest, out *machine.Output) {
+	job, ok := g.replica.Store.Job(pending.request.Name)
+	if !ok || !g.replica.Fresh(now) {
+		pending.commandID = g.replica.Submit(now, ledger.Command{Kind: ledger.KindReadJob, Name: pending.request.Name}, commandTimeout, out)
+		g.requests[pending.request.ID] = pending
 		return
 	}
-	r.seen = job.State
-	r.until = now + min(r.ask.Wait, waitMax)
-	if r.ask.Wait <= 0 || over(job) {
-		f.answer(r.ask.Key, 200, 0, f.known(job), out)
+	pending.lastSeenState = job.State
+	pending.deadline = now + min(pending.request.Wait, maxStatusWait)
+	if pending.request.Wait <= 0 || jobEnded(job) {
+		g.reply(pending.request.ID, 200, 0, g.waitingJobView(job), out)
 		return
 	}
-	f.table[r.ask.Key] = r
+	g.requests[pending.request.ID] = pending
 }
 
-func over(job ledger.Job) bool { return job.EndedAt > 0 }
+func jobEnded(job ledger.Job) bool { return job.EndedAt > 0 }
 
-func (f *Front) beat(now time.Duration, r record, out *machine.Output) {
-	if err := strict(r.ask.Body, &r.beat); err != nil {
-		f.bounce(r.ask.Key, bounced(code.Malformed, "%s", err), out)
+func (g *Gateway) handleHeartbeat(now time.Duration, pending pendingRequest, out *machine.Output) {
+	if err := decodeStrict(pending.request.Body, &pending.heartbeat); err != nil {
+		g.reject(pending.request.ID, rejection(code.Malformed, "%s", err), out)
 		return
 	}
-	if r.beat.Worker == "" || r.beat.Site == "" || r.beat.Service == "" || r.beat.Number == 0 || r.beat.Incarnation <= 0 {
-		f.bounce(r.ask.Key, bounced(code.Malformed, "/: worker, incarnation, number, site and service are needed"), out)
+	if pending.heartbeat.Worker == "" || pending.heartbeat.Zone == "" || pending.heartbeat.Service == "" || pending.heartbeat.Number == 0 || pending.heartbeat.Incarnation <= 0 {
+		g.reject(pending.request.ID, rejection(code.Malformed, "/: worker, incarnation, number, site and service are needed"), out)
 		return
 	}
-	r.until = now + beatWait
-	r.hold = min(r.ask.Wait, holdMax)
-	f.route(now, r, out)
+	pending.deadline = now + heartbeatTimeout
+	pending.wait = min(pending.request.Wait, maxHeartbeatWait)
+	g.routeHeartbeat(now, pending, out)
 }
 
 // route sends a beat to the scheduler whose duty it is; while nobody holds the
 // duty, to one of the site, who will then ask for it.
-func (f *Front) route(now time.Duration, r record, out *machine.Output) {
-	to := f.copy.Ledger.Duty(scheduler.DutyOf(r.beat.Site)).Holder
-	if to == "" || r.tries > 0 && to == r.sentTo {
+func (g *Gateway) routeHeartbeat(now time.Duration, pending pendingRequest, out *machine.Output) {
+	to := g.replica.Store.Leadership(scheduler.LeadershipOf(pending.heartbeat.Zone)).Leader
+	if to == "" || pending.attempts > 0 && to == pending.sentTo {
 		var near, far []string
-		for _, n := range f.nodes {
+		for _, n := range g.nodes {
 			switch {
 			case n.Role != "scheduler":
-			case n.Site == r.beat.Site:
+			case n.Zone == pending.heartbeat.Zone:
 				near = append(near, n.Address)
 			default:
 				far = append(far, n.Address)
 			}
 		}
 		if all := append(near, far...); to == "" && len(all) > 0 {
-			to = all[r.tries%len(all)]
+			to = all[pending.attempts%len(all)]
 		}
 	}
-	r.again = now + 200*time.Millisecond
+	pending.retryAt = now + 200*time.Millisecond
 	if to != "" {
-		r.tries++
-		r.sentTo = to
-		r.again = r.until
-		out.Send(to, wire.Beat, wire.BeatBody{ID: r.ask.Key, Hold: min(r.hold, r.until-now), Beat: r.beat})
+		pending.attempts++
+		pending.sentTo = to
+		pending.retryAt = pending.deadline
+		out.Send(to, wire.KindHeartbeat, wire.HeartbeatRequest{ID: pending.request.ID, MaxWait: min(pending.wait, pending.deadline-now), Heartbeat: pending.heartbeat})
 	}
-	f.table[r.ask.Key] = r
+	g.requests[pending.request.ID] = pending
 }
 
-func (f *Front) beatBack(now time.Duration, b wire.BeatBackBody, out *machine.Output) {
-	r, ok := f.table[b.ID]
-	if !ok || r.ask.Kind != Beat {
+func (g *Gateway) handleHeartbeatReply(now time.Duration, reply wire.HeartbeatReply, out *machine.Output) {
+	pending, ok := g.requests[reply.ID]
+	if !ok || pending.request.Kind != RequestHeartbeat {
 		return
 	}
-	if b.Answer.Code == code.StaleEpoch || b.Answer.Code == code.NoAuthority {
-		r.again = now + 100*time.Millisecond
-		f.table[b.ID] = r
+	if reply.Result.Code == code.StaleEpoch || reply.Result.Code == code.ReplicasUnavailable {
+		pending.retryAt = now + 100*time.Millisecond
+		g.requests[reply.ID] = pending
 		return
 	}
-	f.answer(b.ID, b.Answer.Code.Status(), b.Answer.RetryAfter, OrdersView{outcome(b.Answer), b.Answer.Orders, b.Answer.Orders.Lease.Milliseconds()}, out)
+	g.reply(reply.ID, reply.Result.Code.HTTPStatus(), reply.Result.RetryAfter, HeartbeatView{outcomeOf(reply.Result), reply.Result.Heartbeat, reply.Result.Heartbeat.LeaseDuration.Milliseconds()}, out)
 }
 
 // pass runs over the table and answers what is due.
-func (f *Front) pass(now time.Duration, results []follow.Result, out *machine.Output) {
-	done := map[uint64]ledger.Answer{}
-	for _, r := range results {
-		done[r.ID] = r.Answer
+func (g *Gateway) scan(now time.Duration, results []follow.CommandResult, out *machine.Output) {
+	done := map[uint64]ledger.Result{}
+	for _, pending := range results {
+		done[pending.ID] = pending.Result
 	}
-	keys := make([]uint64, 0, len(f.table))
-	for key := range f.table {
+	keys := make([]uint64, 0, len(g.requests))
+	for key := range g.requests {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		r := f.table[key]
-		answer, answered := done[r.command]
+		pending := g.requests[key]
+		answer, answered := done[pending.commandID]
 		switch {
-		case r.command > 0 && answered:
-			f.commanded(key, r, answer, out)
-		case r.ask.Kind == Status && r.command == 0:
-			job, ok := f.copy.Ledger.Job(r.ask.Name)
+		case pending.commandID > 0 && answered:
+			g.handleCommandResult(key, pending, answer, out)
+		case pending.request.Kind == RequestStatus && pending.commandID == 0:
+			job, ok := g.replica.Store.Job(pending.request.Name)
 			if !ok {
-				f.bounce(key, bounced(code.UnknownJob, "job %s is not known", r.ask.Name), out)
-			} else if over(job) || job.State != r.seen || now >= r.until {
-				f.answer(key, 200, 0, f.known(job), out)
+				g.reject(key, rejection(code.UnknownJob, "job %s is not known", pending.request.Name), out)
+			} else if jobEnded(job) || job.State != pending.lastSeenState || now >= pending.deadline {
+				g.reply(key, 200, 0, g.waitingJobView(job), out)
 			}
-		case r.ask.Kind == Beat && now >= r.until:
-			f.bounce(key, bounced(code.NoAuthority, "no scheduler took the beat in time"), out)
-		case r.ask.Kind == Beat && now >= r.again:
-			f.route(now, r, out)
+		case pending.request.Kind == RequestHeartbeat && now >= pending.deadline:
+			g.reject(key, rejection(code.ReplicasUnavailable, "no scheduler took the beat in time"), out)
+		case pending.request.Kind == RequestHeartbeat && now >= pending.retryAt:
+			g.routeHeartbeat(now, pending, out)
 		}
 	}
 }
 
-func (f *Front) commanded(key uint64, r record, a ledger.Answer, out *machine.Output) {
-	if a.Code.Good() && (r.ask.Kind == Submit || r.ask.Kind == Status || r.ask.Kind == Cancel) {
-		f.answer(key, a.Code.Status(), 0, f.viewJob(a.Job, ledger.Answer{Code: a.Code}), out)
+func (g *Gateway) handleCommandResult(key uint64, pending pendingRequest, answer ledger.Result, out *machine.Output) {
+	if answer.Code.IsSuccess() && (pending.request.Kind == RequestSubmit || pending.request.Kind == RequestStatus || pending.request.Kind == RequestCancel) {
+		g.reply(key, answer.Code.HTTPStatus(), 0, g.jobView(answer.Job, ledger.Result{Code: answer.Code}), out)
 		return
 	}
-	f.bounce(key, a, out)
+	g.reject(key, answer, out)
 }
 
 // look answers the questions that the copy alone can answer.
-func (f *Front) look(now time.Duration, ask machine.Ask, out *machine.Output) {
-	l := f.copy.Ledger
-	if !f.copy.Fresh(now) && ask.Kind != Nodes && ask.Kind != PlanCheck {
-		f.bounce(ask.Key, bounced(code.NoAuthority, "no keeper has confirmed this front's copy lately"), out)
+func (g *Gateway) handleQuery(now time.Duration, request machine.Request, out *machine.Output) {
+	store := g.replica.Store
+	if !g.replica.Fresh(now) && request.Kind != RequestNodes && request.Kind != RequestConfigCheck {
+		g.reject(request.ID, rejection(code.ReplicasUnavailable, "no keeper has confirmed this front's copy lately"), out)
 		return
 	}
-	switch ask.Kind {
-	case PlanGet:
-		f.answer(ask.Key, 200, 0, l.Plan(), out)
-	case PlanCheck:
-		p, faults := plan.Parse(ask.Body)
-		a := ledger.Answer{Faults: faults, Sequence: l.Plan().Sequence}
+	switch request.Kind {
+	case RequestConfigGet:
+		g.reply(request.ID, 200, 0, store.Config(), out)
+	case RequestConfigCheck:
+		proposed, faults := plan.Parse(request.Body)
+		answer := ledger.Result{Violations: faults, ConfigVersion: store.Config().Version}
 		if len(faults) > 0 {
-			a.Code, a.Why = faults[0].Code, faults[0].Place+": "+faults[0].Why
-			f.bounce(ask.Key, a, out)
+			answer.Code, answer.Reason = faults[0].Code, faults[0].Path+": "+faults[0].Reason
+			g.reject(request.ID, answer, out)
 			return
 		}
-		v := CheckView{Outcome: outcome(a)}
-		if f.copy.Fresh(now) {
-			v.DryRun = l.DryRun(p)
+		view := ConfigCheckView{Outcome: outcomeOf(answer)}
+		if g.replica.Fresh(now) {
+			view.DryRun = store.DryRun(proposed)
 		}
-		f.answer(ask.Key, 200, 0, v, out)
-	case Nodes:
-		f.answer(ask.Key, 200, 0, map[string]any{"nodes": append([]wire.Node{}, f.nodes...)}, out)
-	case Workers:
-		f.answer(ask.Key, 200, 0, map[string]any{"workers": f.workers(), "emptied": l.Emptied()}, out)
-	case Duties:
-		f.answer(ask.Key, 200, 0, map[string]any{"duties": l.Duties()}, out)
-	case Jobs:
+		g.reply(request.ID, 200, 0, view, out)
+	case RequestNodes:
+		g.reply(request.ID, 200, 0, map[string]any{"nodes": append([]wire.Node{}, g.nodes...)}, out)
+	case RequestWorkers:
+		g.reply(request.ID, 200, 0, map[string]any{"workers": g.workerViews(), "emptied": store.DrainedZones()}, out)
+	case RequestLeaderships:
+		g.reply(request.ID, 200, 0, map[string]any{"duties": store.Leaderships()}, out)
+	case RequestJobs:
 		views := []JobView{}
-		for _, job := range l.Active() {
-			views = append(views, f.viewJob(job, ledger.Answer{}))
+		for _, job := range store.ActiveJobs() {
+			views = append(views, g.jobView(job, ledger.Result{}))
 		}
-		f.answer(ask.Key, 200, 0, map[string]any{"jobs": views}, out)
+		g.reply(request.ID, 200, 0, map[string]any{"jobs": views}, out)
 	default:
-		f.bounce(ask.Key, bounced(code.UnknownName, "no such request"), out)
+		g.reject(request.ID, rejection(code.UnknownName, "no such request"), out)
 	}
 }
 
-func (f *Front) workers() []WorkerView {
-	l := f.copy.Ledger
+func (g *Gateway) workerViews() []WorkerView {
+	store := g.replica.Store
 	views := []WorkerView{}
-	for _, w := range l.Workers() {
-		state := "ready"
+	for _, w := range store.Workers() {
+		workerState := "ready"
 		switch {
-		case w.Gone:
-			state = "gone"
-		case !l.Live(w):
-			state = "silent"
+		case w.ConfirmedDead:
+			workerState = "gone"
+		case !store.Live(w):
+			workerState = "silent"
 		case w.Leaving:
-			state = "leaving"
+			workerState = "leaving"
 		case w.Drained:
-			state = "drained"
-		case slices.Contains(l.Emptied(), w.Site):
-			state = "emptied"
+			workerState = "drained"
+		case slices.Contains(store.DrainedZones(), w.Zone):
+			workerState = "emptied"
 		}
-		v := WorkerView{w.ID(), w.Site, w.Rack, w.Service, w.Labels, state, w.Capacity, l.Room(w.ID()), []ledger.Attempt{}}
-		for _, p := range l.TurnsOn(w.ID()) {
-			v.Turns = append(v.Turns, p.Attempt)
+		view := WorkerView{w.ID(), w.Zone, w.Rack, w.Service, w.Labels, workerState, w.Capacity, store.FreeResources(w.ID()), []ledger.Attempt{}}
+		for _, lease := range store.LeasesOn(w.ID()) {
+			view.Leases = append(view.Leases, lease.Attempt)
 		}
-		views = append(views, v)
+		views = append(views, view)
 	}
 	return views
 }
 
 // Open counts the records in the table.
-func (f *Front) Open() int { return len(f.table) }
+func (g *Gateway) PendingCount() int { return len(g.requests) }
--- a/core/front/recordings_test.go
+++ b/core/front/recordings_test.go
@@ -15,9 +15,9 @@
 
 // bodies are those of requests and of answers.
 var bodies = map[string]any{
-	"request-job": ledger.JobSpec{}, "request-beat": ledger.Beat{}, "plan": plan.Plan{},
-	"answer-outcome": Outcome{}, "answer-job": JobView{}, "answer-orders": OrdersView{}, "answer-check": CheckView{},
-	"answer-worker": WorkerView{}, "answer-node": wire.Node{}, "answer-duty": ledger.Duty{},
+	"request-job": ledger.JobSpec{}, "request-beat": ledger.Heartbeat{}, "plan": plan.Config{},
+	"answer-outcome": Outcome{}, "answer-job": JobView{}, "answer-orders": HeartbeatView{}, "answer-check": ConfigCheckView{},
+	"answer-worker": WorkerView{}, "answer-node": wire.Node{}, "answer-duty": ledger.Leadership{},
 }
 
 func TestBodiesAreEncodedAsRecorded(t *testing.T) {
--- a/core/front/schema_test.go
+++ b/core/front/schema_test.go
@@ -18,7 +18,7 @@
 
 // TestEveryAnswerMeetsThePublishedSchema asks every kind of question and holds
 // the answer against api.schema.json, which allows no field it does not name.
-func TestEveryAnswerMeetsThePublishedSchema(t *testing.T) {
+func TestAnswersMatchPublishedSchema(t *testing.T) {
 	text, err := os.ReadFile("api.schema.json")
 	if err != nil {
 		t.Fatal(err)
@@ -46,34 +46,34 @@
 		}
 	}
 	w := ledgertest.New(t)
-	w.Worker("w1+ssd", 4)
-	w.Job("j", "quick", "a", "b<a")
-	running := w.Start("j/a@w1")
-	w.Job("k", "batch", "a:3", "b:3", "c+gpu")
-	f := New(Env{Address: "1.1.1.1:1", Site: "a", First: 1})
-	node := wire.Node{ID: "2.2.2.2:2", Role: "scheduler", Site: "a", Address: "2.2.2.2:2", HTTP: "2.2.2.2:3"}
-	f.Step(time.Second, machine.Input{Line: machine.Line{Wire: 1, Kind: wire.Nodes, From: "1.1.1.1:1", Body: machine.MustMarshal(wire.Gossip{Nodes: []wire.Node{node}})}})
-	f.Step(time.Second, machine.Input{Line: machine.Line{Wire: 1, Kind: wire.News, From: "2.2.2.2:2", Body: machine.MustMarshal(wire.NewsBody{Epoch: 1, At: w.Ledger.Position(), Records: w.Ledger.Records()})}})
-	for kind, schema := range map[string]string{Jobs: "jobs", Workers: "workers", Nodes: "nodes", Duties: "duties"} {
-		r, ok := ask(f, kind, "", "")
-		if !ok || r.Status != 200 {
+	w.AddWorker("w1+ssd", 4)
+	w.AcceptJob("j", "quick", "a", "b<a")
+	running := w.StartTask("j/a@w1")
+	w.AcceptJob("k", "batch", "a:3", "b:3", "c+gpu")
+	g := New(Config{Address: "1.1.1.1:1", Zone: "a", FirstCommandID: 1})
+	node := wire.Node{ID: "2.2.2.2:2", Role: "scheduler", Zone: "a", Address: "2.2.2.2:2", HTTPAddress: "2.2.2.2:3"}
+	g.Step(time.Second, machine.Input{Message: machine.Message{Version: 1, Kind: wire.KindNodeList, From: "1.1.1.1:1", Body: machine.MustMarshal(wire.Gossip{Nodes: []wire.Node{node}})}})
+	g.Step(time.Second, machine.Input{Message: machine.Message{Version: 1, Kind: wire.KindFeedUpdate, From: "2.2.2.2:2", Body: machine.MustMarshal(wire.FeedUpdate{Epoch: 1, Position: w.Store.Position(), Records: w.Store.Records()})}})
+	for kind, schema := range map[string]string{RequestJobs: "jobs", RequestWorkers: "workers", RequestNodes: "nodes", RequestLeaderships: "duties"} {
+		r, ok := request(g, kind, "", "")
+		if !ok || r.StatusCode != 200 {
 			t.Errorf("%s: %v %+v", kind, ok, r)
 		}
 		meets(schema, r.Body)
 	}
-	r, _ := ask(f, Status, "j", "")
+	r, _ := request(g, RequestStatus, "j", "")
 	meets("job", r.Body)
-	r, _ = ask(f, PlanCheck, "", ledgertest.Plan)
+	r, _ = request(g, RequestConfigCheck, "", ledgertest.Config)
 	meets("check", r.Body)
-	if v := r.Body.(CheckView); len(v.DryRun) != 4 {
+	if v := r.Body.(ConfigCheckView); len(v.DryRun) != 4 {
 		t.Errorf("dry run %+v", v.DryRun)
 	}
-	r, _ = ask(f, PlanCheck, "", `{"services":{},"policies":{"order":"x"}}`)
+	r, _ = request(g, RequestConfigCheck, "", `{"services":{},"policies":{"order":"x"}}`)
 	meets("bounce", r.Body)
-	r, _ = ask(f, Submit, "", `{`)
+	r, _ = request(g, RequestSubmit, "", `{`)
 	meets("bounce", r.Body)
-	orders := ledger.Orders{Starts: []ledger.Start{{Attempt: running, Service: "tickets", Class: "quick"}}, Stops: []ledger.Attempt{running}, Acks: []ledger.Attempt{running}, Lease: time.Second}
-	meets("beat-back", OrdersView{outcome(ledger.Answer{Code: code.OK}), orders, 1000})
+	orders := ledger.HeartbeatReply{Starts: []ledger.StartOrder{{Attempt: running, Service: "tickets", Class: "quick"}}, Stops: []ledger.Attempt{running}, Acks: []ledger.Attempt{running}, LeaseDuration: time.Second}
+	meets("beat-back", HeartbeatView{outcomeOf(ledger.Result{Code: code.OK}), orders, 1000})
 	var extra map[string]any
 	if err := json.Unmarshal(machine.MustJSON(r.Body), &extra); err != nil {
 		t.Fatal(err)
@@ -89,19 +89,19 @@
 }
 
 // TestDryRunShowsWhatAPlanWouldChange compares shares, order and lending.
-func TestDryRunShowsWhatAPlanWouldChange(t *testing.T) {
+func TestDryRunShowsConfigChanges(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Worker("w1", 8)
-	w.Job("j", "batch", "a", "b")
-	next := w.Ledger.Plan()
+	w.AddWorker("w1", 8)
+	w.AcceptJob("j", "batch", "a", "b")
+	next := w.Store.Config()
 	next.Policies.Order, next.Policies.Borrow = "priority * 2", "false"
-	for _, row := range w.Ledger.DryRun(next) {
+	for _, row := range w.Store.DryRun(next) {
 		if row.Service != "tickets" || row.Class != "batch" {
 			continue
 		}
-		want := ledger.DryRow{Service: "tickets", Class: "batch", Waiting: 2,
-			Now:  ledger.DrySide{Known: true, Share: 4, Order: 10, Borrow: true},
-			Then: ledger.DrySide{Known: true, Share: 4, Order: 20, Borrow: false}}
+		want := ledger.DryRunRow{Service: "tickets", Class: "batch", Waiting: 2,
+			Current:  ledger.DryRunOutcome{Known: true, ShareSlots: 4, Order: 10, Borrow: true},
+			Proposed: ledger.DryRunOutcome{Known: true, ShareSlots: 4, Order: 20, Borrow: false}}
 		if row != want {
 			t.Errorf("got %+v, want %+v", row, want)
 		}
--- a/core/goldentest/fill.go
+++ b/core/goldentest/fill.go
@@ -88,7 +88,7 @@
 		*value = time.Unix(int64(f.number(path)), 7).UTC()
 	case *json.RawMessage:
 		*value = fmt.Appendf(nil, `{"number":%d}`, f.number(path))
-	case *plan.Span:
+	case *plan.Duration:
 		value.Duration = time.Duration(f.number(path)) * time.Millisecond
 	default:
 		return false
--- a/core/keeper/admission_test.go
+++ b/core/keeper/admission_test.go
@@ -12,85 +12,85 @@
 )
 
 // desk is a leader whose disk and backups do not answer, as one sender sees it.
-type desk struct {
+type isolatedLeader struct {
 	*testing.T
-	leader *Keeper
+	leader *Replica
 	start  time.Duration
 }
 
-func newDesk(t *testing.T) *desk {
-	c := newTrio(t)
+func newIsolatedLeader(t *testing.T) *isolatedLeader {
+	c := newCluster(t)
 	p := c.primary()
-	return &desk{t, p.k, c.now - p.boot + time.Microsecond}
+	return &isolatedLeader{t, p.replica, c.now - p.startedAt + time.Microsecond}
 }
 
 // send hands a command to the leader and gives what it answers at once.
-func (d *desk) send(at time.Duration, b wire.CommandBody) []wire.CommandBackBody {
+func (d *isolatedLeader) send(at time.Duration, b wire.CommandRequest) []wire.CommandReply {
 	d.Helper()
-	line := machine.Line{Wire: machine.WireSequence, Kind: wire.Command, From: "door", Body: machine.MustMarshal(b)}
+	line := machine.Message{Version: machine.ProtocolVersion, Kind: wire.KindCommand, From: "door", Body: machine.MustMarshal(b)}
 	var out machine.Output
-	d.leader.line(d.start+at, line, &out)
-	var backs []wire.CommandBackBody
-	for _, s := range out.Sends {
+	d.leader.handleMessage(d.start+at, line, &out)
+	var backs []wire.CommandReply
+	for _, s := range out.Messages {
 		if s.To == "door" {
-			backs = append(backs, s.Body.(wire.CommandBackBody))
+			backs = append(backs, s.Body.(wire.CommandReply))
 		}
 	}
 	return backs
 }
 
-func plan(id uint64) wire.CommandBody {
-	change := ledger.PlanChange{Forced: true, Patch: true, Body: []byte(`{"limits":{"keep":"12m"}}`)}
-	return wire.CommandBody{ID: id, Command: ledger.Command{Kind: ledger.KindPlan, Plan: change}}
+func configCommand(id uint64) wire.CommandRequest {
+	change := ledger.ConfigChange{Forced: true, Patch: true, Body: []byte(`{"limits":{"keep":"12m"}}`)}
+	return wire.CommandRequest{ID: id, Command: ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: change}}
 }
 
 // TestAdmission sends one command behind another that has waited for 300 ms.
 func TestAdmission(t *testing.T) {
 	const age = 300 * time.Millisecond
-	read := wire.CommandBody{ID: 2, Command: ledger.Command{Kind: ledger.KindReadPlan}}
-	with := func(b wire.CommandBody, change func(d *desk, b *wire.CommandBody)) func(*desk) wire.CommandBody {
-		return func(d *desk) wire.CommandBody {
+	read := wire.CommandRequest{ID: 2, Command: ledger.Command{Kind: ledger.KindReadConfig}}
+	with := func(b wire.CommandRequest, change func(d *isolatedLeader, b *wire.CommandRequest)) func(*isolatedLeader) wire.CommandRequest {
+		return func(d *isolatedLeader) wire.CommandRequest {
 			change(d, &b)
 			return b
 		}
 	}
-	deadline := func(in time.Duration) func(*desk, *wire.CommandBody) {
-		return func(d *desk, b *wire.CommandBody) {
-			b.Left, b.Deadline = time.Second, d.leader.Time(d.start+age)+in
+	deadline := func(in time.Duration) func(*isolatedLeader, *wire.CommandRequest) {
+		return func(d *isolatedLeader, b *wire.CommandRequest) {
+			b.Timeout, b.Deadline = time.Second, d.leader.Time(d.start+age)+in
 		}
 	}
-	left := func(left time.Duration) func(*desk, *wire.CommandBody) {
-		return func(_ *desk, b *wire.CommandBody) { b.Left = left }
+	left := func(left time.Duration) func(*isolatedLeader, *wire.CommandRequest) {
+		return func(_ *isolatedLeader, b *wire.CommandRequest) { b.Timeout = left }
 	}
-	resent := func(_ *desk, b *wire.CommandBody) { b.Resent = true }
+	resent := func(_ *isolatedLeader, b *wire.CommandRequest) { b.Retry = true }
 	table := []struct {
 		name     string
-		body     func(*desk) wire.CommandBody
+		body     func(*isolatedLeader) wire.CommandRequest
 		admitted bool
 		rejected bool
 	}{
-		{"no bound", with(plan(2), func(*desk, *wire.CommandBody) {}), true, false},
-		{"more time than the oldest has waited", with(plan(2), left(age+time.Millisecond)), true, false},
-		{"less time than the oldest has waited", with(plan(2), left(age)), false, true},
+		{"no bound", with(configCommand(2), func(*isolatedLeader, *wire.CommandRequest) {}), true, false},
+		{"more time than the oldest has waited", with(configCommand(2), left(age+time.Millisecond)), true, false},
+		{"less time than the oldest has waited", with(configCommand(2), left(age)), false, true},
 		{"a read with less time", with(read, left(age)), false, true},
-		{"a deadline far enough", with(plan(2), deadline(age+time.Millisecond)), true, false},
-		{"a deadline before the commit", with(plan(2), deadline(age)), false, true},
-		{"a deadline that is over", with(plan(2), deadline(0)), false, false},
-		{"another copy of what waits", with(plan(1), resent), false, false},
-		{"another copy of what is not here", with(plan(2), resent), true, false},
+		{"a deadline far enough", with(configCommand(2), deadline(age+time.Millisecond)), true, false},
+		{"a deadline before the commit", with(configCommand(2), deadline(age)), false, true},
+		{"a deadline that is over", with(configCommand(2), deadline(0)), false, false},
+		{"another copy of what waits", with(configCommand(1), resent), false, false},
+		{"another copy of what is not here", with(configCommand(2), resent), true, false},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
-			d := newDesk(t)
-			d.send(0, plan(1))
-			before, waiting := d.leader.ledger.Position(), len(d.leader.answers)
+			d := newIsolatedLeader(t)
+			d.send(0, configCommand(1))
+			before, waiting := d.leader.store.Position(), len(d.leader.pendingReplies)
 			body := row.body(d)
 			backs := d.send(age, body)
-			if admitted := len(d.leader.answers) > waiting; admitted != row.admitted {
+			if admitted := len(d.leader.pendingReplies) > waiting; admitted != row.admitted {
 				t.Errorf("admitted: %v", admitted)
 			}
-			writes := row.admitted && !ledger.Reads(body.Command.Kind)
-			if changed := d.leader.ledger.Position() != before; changed != writes {
+			writes := row.admitted && !ledger.IsReadOnly(body.Command.Kind)
+			if changed := d.leader.store.Position() != before; changed != writes {
 				t.Errorf("the ledger was changed: %v", changed)
 			}
 			if rejected := len(backs) > 0; rejected != row.rejected {
@@ -99,7 +99,7 @@
 			if !row.rejected {
 				return
 			}
-			if b := backs[0]; b.ID != 2 || b.Answer.Code != code.InboxFull || b.Answer.RetryAfter < retryAfter {
+			if b := backs[0]; b.ID != 2 || b.Result.Code != code.QueueFull || b.Result.RetryAfter < minRetryAfter {
 				t.Errorf("%+v", b)
 			}
 		})
@@ -108,18 +108,18 @@
 
 // TestAProofIsReceivedAtOnce: a sender hears at once that the leader is alive, and
 // is given the proof only when the disks and the backups have answered.
-func TestAProofIsReceivedAtOnce(t *testing.T) {
-	d := newDesk(t)
-	d.send(0, plan(1))
-	backs := d.send(time.Millisecond, wire.CommandBody{ID: 7, Command: ledger.Command{Kind: ledger.KindProve}})
-	if len(backs) != 1 || !backs[0].Received || backs[0].ID != 7 || backs[0].Answer.Code != code.NoAuthority {
+func TestConfirmationIsAcknowledgedAtOnce(t *testing.T) {
+	d := newIsolatedLeader(t)
+	d.send(0, configCommand(1))
+	backs := d.send(time.Millisecond, wire.CommandRequest{ID: 7, Command: ledger.Command{Kind: ledger.KindConfirmLeadership}})
+	if len(backs) != 1 || !backs[0].Received || backs[0].ID != 7 || backs[0].Result.Code != code.ReplicasUnavailable {
 		t.Fatalf("at once: %+v", backs)
 	}
-	proof := d.leader.answers[len(d.leader.answers)-1].body
-	if proof.Received || proof.Answer.Code != code.OK || proof.Answer.Proven != d.leader.ledger.Position().Sequence {
+	proof := d.leader.pendingReplies[len(d.leader.pendingReplies)-1].body
+	if proof.Received || proof.Result.Code != code.OK || proof.Result.ConfirmedIndex != d.leader.store.Position().Index {
 		t.Errorf("the proof: %+v", proof)
 	}
-	if want := d.leader.Time(d.start + time.Millisecond); proof.Answer.Time != want {
-		t.Errorf("ledger time %s, want %s", proof.Answer.Time, want)
+	if want := d.leader.Time(d.start + time.Millisecond); proof.Result.Time != want {
+		t.Errorf("ledger time %s, want %s", proof.Result.Time, want)
 	}
 }
--- a/core/keeper/checkpoint.go
+++ b/core/keeper/checkpoint.go
@@ -10,31 +10,31 @@
 
 const (
 	// checkpointEach is how many commands lie between two checkpoints.
-	checkpointEach = 2048
+	checkpointInterval = 2048
 	// checkpointsKept reach back over all commands that can wait for an answer.
-	checkpointsKept = 1 + (inFlight+checkpointEach-1)/checkpointEach
+	maxCheckpoints = 1 + (maxPendingCommands+checkpointInterval-1)/checkpointInterval
 )
 
 // checkpoints are captures of the ledger at earlier positions, the newest last, so
 // that commands that were never committed can be taken back by applying those before
 // them again.
-type checkpoints []*ledger.Capture
+type checkpoints []*ledger.Snapshot
 
 // add takes a checkpoint once the ledger has moved on far enough.
-func (c *checkpoints) add(l *ledger.Ledger) {
-	if n := len(*c); n > 0 && l.Position().Sequence < (*c)[n-1].Position().Sequence+checkpointEach {
+func (c *checkpoints) add(store *ledger.Store) {
+	if n := len(*c); n > 0 && store.Position().Index < (*c)[n-1].Position().Index+checkpointInterval {
 		return
 	}
-	*c = append(*c, l.Capture())
-	if len(*c) > checkpointsKept {
+	*c = append(*c, store.Snapshot())
+	if len(*c) > maxCheckpoints {
 		*c = slices.Clone((*c)[1:])
 	}
 }
 
 // cut drops the checkpoints after a position and gives the newest that is left.
-func (c *checkpoints) cut(at ledger.Position) *ledger.Capture {
+func (c *checkpoints) truncate(at ledger.LogPosition) *ledger.Snapshot {
 	for n := len(*c); n > 0; n-- {
-		if (*c)[n-1].Position().Sequence <= at.Sequence {
+		if (*c)[n-1].Position().Index <= at.Index {
 			*c = (*c)[:n]
 			return (*c)[n-1]
 		}
@@ -44,63 +44,63 @@
 
 // rewind takes back the commands after a position, which were never committed: the
 // leader, which has all that were, does not have them.
-func (k *Keeper) rewind(to ledger.Position) bool {
-	if !k.tail.Holds(to) {
+func (r *Replica) rewind(to ledger.LogPosition) bool {
+	if !r.logTail.Contains(to) {
 		return false
 	}
-	checkpoint := k.checkpoints.cut(to)
+	checkpoint := r.checkpoints.truncate(to)
 	if checkpoint == nil {
 		return false
 	}
-	again, _, ok := k.tail.Window(checkpoint.Position(), to, checkpointEach, ledger.TailBytes)
+	replay, _, ok := r.logTail.Window(checkpoint.Position(), to, checkpointInterval, ledger.LogSuffixBytes)
 	if !ok {
 		return false
 	}
-	commands, err := decodeAll(again)
+	commands, err := decodeCommands(replay)
 	if err != nil {
 		return false
 	}
-	l := checkpoint.Ledger()
+	store := checkpoint.Store()
 	for _, cmd := range commands {
-		l.Apply(cmd.Command)
+		store.Apply(cmd.Command)
 	}
-	if l.Position() != to {
+	if store.Position() != to {
 		return false
 	}
-	l.TakeEntries()
-	k.ledger = l
-	k.dropAfter(to)
+	store.TakeAuditEntries()
+	r.store = store
+	r.truncateLog(to)
 	return true
 }
 
 // dropAfter has what was applied after a position forgotten, here and on the disk.
-func (k *Keeper) dropAfter(to ledger.Position) {
-	dropped := k.tail.Cut(to)
-	k.forget(to.Sequence)
-	unwritten := min(dropped, len(k.commands))
-	k.commands = k.commands[:len(k.commands)-unwritten]
-	k.drop += dropped - unwritten
-	if to.Sequence < k.snapshotAt.Sequence {
+func (r *Replica) truncateLog(to ledger.LogPosition) {
+	dropped := r.logTail.TruncateAfter(to)
+	r.forgetAfter(to.Index)
+	unwritten := min(dropped, len(r.unwrittenCommands))
+	r.unwrittenCommands = r.unwrittenCommands[:len(r.unwrittenCommands)-unwritten]
+	r.logTruncation += dropped - unwritten
+	if to.Index < r.snapshotPosition.Index {
 		// The disk's snapshot is of a later position already.
-		k.drop, k.commands, k.replaced = 0, nil, true
+		r.logTruncation, r.unwrittenCommands, r.replaceLog = 0, nil, true
 	}
 }
 
 // forget drops what waits for sequences after one that the ledger has gone back to.
-func (k *Keeper) forget(sequence uint64) {
-	k.acks, k.source, k.sent = nil, nil, k.ledger.Position()
-	k.synced = min(k.synced, sequence)
-	for id, w := range k.writing {
-		k.writing[id] = after{w.sends, min(w.sequence, sequence), w.stands}
+func (r *Replica) forgetAfter(sequence uint64) {
+	r.pendingAcks, r.source, r.broadcastEnd = nil, nil, r.store.Position()
+	r.syncedIndex = min(r.syncedIndex, sequence)
+	for id, w := range r.inFlightWrites {
+		r.inFlightWrites[id] = inFlightWrite{w.sends, min(w.index, sequence), w.candidateEpoch}
 	}
-	for n, e := range k.entries {
-		if e.Sequence > sequence {
-			k.entries = k.entries[:n]
+	for n, e := range r.auditEntries {
+		if e.Index > sequence {
+			r.auditEntries = r.auditEntries[:n]
 			break
 		}
 	}
-	for id, p := range k.peers {
-		p.synced, p.next, p.confirmed = false, ledger.Position{}, ledger.Position{}
-		k.peers[id] = p
+	for id, p := range r.peers {
+		p.replicating, p.sentUpTo, p.windowStart = false, ledger.LogPosition{}, ledger.LogPosition{}
+		r.peers[id] = p
 	}
 }
