--- a/core/keeper/control_found_test.go
+++ b/core/keeper/control_found_test.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	startWithin = 300 * time.Millisecond
+	startSpread = 300 * time.Millisecond
 	// foundedWithin bounds the time from the first start to the first answer.
-	foundedWithin = 5 * time.Second
+	bootstrapBound = 5 * time.Second
 )
 
 // founding is a system before its first start.
-type founding struct {
-	*trio
+type bootstrapCluster struct {
+	*cluster
 	machines []string
 	// firstStart is what the settings of the next process say.
 	firstStart bool
 	// slow says how much longer the disk of a machine takes from its next start on.
-	slow func(address string) time.Duration
+	diskDelayOf func(address string) time.Duration
 }
 
 // newFounding places ten machines in three sites, of which three are seeds.
-func newFounding(t testing.TB, losses int, chance *rand.Rand) *founding {
-	c := &founding{trio: emptyTrio(t), firstStart: true}
-	c.copies = losses
+func newBootstrapCluster(t testing.TB, losses int, chance *rand.Rand) *bootstrapCluster {
+	c := &bootstrapCluster{cluster: newEmptyCluster(t), firstStart: true}
+	c.backupCount = losses
 	for i := range 10 {
 		address := string(rune('a' + i))
 		c.machines = append(c.machines, address)
-		c.sites[address] = []string{"x", "y", "z"}[i%3]
+		c.zones[address] = []string{"x", "y", "z"}[i%3]
 	}
 	c.founders = nil
 	for _, at := range chance.Perm(len(c.machines))[:3] {
 		c.founders = append(c.founders, c.machines[at])
 	}
-	c.tune = func(h *host, env *Env) {
-		if h.slow = 0; c.slow != nil {
-			h.slow = c.slow(h.address)
+	c.configure = func(h *node, env *Config) {
+		if h.diskDelay = 0; c.diskDelayOf != nil {
+			h.diskDelay = c.diskDelayOf(h.address)
 		}
 		env.Founders = nil
 		if c.firstStart {
@@ -53,52 +53,52 @@
 }
 
 // startAll starts all machines but some in any order.
-func (c *founding) startAll(chance *rand.Rand, but ...string) {
+func (c *bootstrapCluster) startAll(chance *rand.Rand, but ...string) {
 	at := make([]time.Duration, len(c.machines))
 	for i := range at {
-		at[i] = time.Duration(chance.Int64N(int64(startWithin)))
+		at[i] = time.Duration(chance.Int64N(int64(startSpread)))
 	}
 	order := chance.Perm(len(c.machines))
 	slices.SortFunc(order, func(a, b int) int { return int(at[a] - at[b]) })
 	for _, i := range order {
 		address := c.machines[i]
-		if slices.Contains(but, address) || slices.Contains(c.proxies, address) {
+		if slices.Contains(but, address) || slices.Contains(c.diskless, address) {
 			continue
 		}
-		c.pass(max(0, at[i].Truncate(stride)-c.now))
+		c.advance(max(0, at[i].Truncate(tickStep)-c.now))
 		c.add(address)
 	}
 }
 
 // founded wants one cluster with as many backups as may be lost.
-func (c *founding) founded(losses int) {
+func (c *bootstrapCluster) checkBootstrapped(losses int) {
 	c.t.Helper()
-	if took, ok := c.serves(foundedWithin); !ok {
+	if took, ok := c.waitForAnswer(bootstrapBound); !ok {
 		c.t.Errorf("no answer %s after the start", took)
 		return
 	}
-	c.pass(time.Second)
-	if p := c.primary(); p == nil || len(p.k.View().Backups) != losses {
+	c.advance(time.Second)
+	if p := c.primary(); p == nil || len(p.replica.View().Backups) != losses {
 		c.t.Errorf("not %d backups", losses)
 	}
-	c.check()
+	c.checkAnswered()
 }
 
 // TestOneClusterIsFounded starts ten machines within 0.3 s under many seeds, of which
 // some have no disk.
-func TestOneClusterIsFounded(t *testing.T) {
+func TestOneClusterIsBootstrapped(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for seed := range uint64(16) {
 			chance := rand.New(rand.NewPCG(seed, uint64(losses)))
-			c := newFounding(t, losses, chance)
+			c := newBootstrapCluster(t, losses, chance)
 			for range seed % 4 {
-				c.proxies = append(c.proxies, c.machines[chance.IntN(len(c.machines))])
+				c.diskless = append(c.diskless, c.machines[chance.IntN(len(c.machines))])
 			}
-			c.late = func(_, _, _ string) time.Duration { return time.Duration(chance.IntN(20)) * stride }
+			c.delay = func(_, _, _ string) time.Duration { return time.Duration(chance.IntN(20)) * tickStep }
 			c.startAll(chance)
-			c.founded(losses)
+			c.checkBootstrapped(losses)
 			if t.Failed() {
-				t.Fatalf("f=%d seed %d, seeds %v, without disks %v\n%s", losses, seed, c.founders, c.proxies, c.tell(60))
+				t.Fatalf("f=%d seed %d, seeds %v, without disks %v\n%s", losses, seed, c.founders, c.diskless, c.recentLog(60))
 			}
 		}
 	}
@@ -106,23 +106,23 @@
 
 // TestASeedThatNeverCame has one of three seeds down for long. It may have founded and
 // lost its lines, so nobody founds without it; once it is there, one cluster is founded.
-func TestASeedThatNeverCame(t *testing.T) {
+func TestMissingFounderBlocksBootstrap(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for seed := range uint64(6) {
 			chance := rand.New(rand.NewPCG(seed, uint64(losses)))
-			c := newFounding(t, losses, chance)
+			c := newBootstrapCluster(t, losses, chance)
 			missing := c.founders[seed%3]
 			c.startAll(chance, missing)
-			c.pass(10 * time.Second)
-			for _, h := range c.hosts {
-				if h.k.View().Epoch > 0 {
+			c.advance(10 * time.Second)
+			for _, h := range c.nodes {
+				if h.replica.View().Epoch > 0 {
 					t.Errorf("%s knows a view though the seed %s never came", h.address, missing)
 				}
 			}
 			c.add(missing)
-			c.founded(losses)
+			c.checkBootstrapped(losses)
 			if t.Failed() {
-				t.Fatalf("f=%d seed %d, seeds %v, missing %s\n%s", losses, seed, c.founders, missing, c.tell(60))
+				t.Fatalf("f=%d seed %d, seeds %v, missing %s\n%s", losses, seed, c.founders, missing, c.recentLog(60))
 			}
 		}
 	}
@@ -131,8 +131,8 @@
 // TestPowerIsLostWhileFounding takes the power from all machines, or from as many seeds as
 // may be lost, while the first view is founded, with disks that differ in speed. Their
 // settings say then that it is not the first start, unless the disk of a seed is still empty.
-func TestPowerIsLostWhileFounding(t *testing.T) {
-	const slow, stalled = 30 * stride, 200 * stride
+func TestPowerLossDuringBootstrap(t *testing.T) {
+	const slow, stalled = 30 * tickStep, 200 * tickStep
 	for _, row := range []struct {
 		name                string
 		seeds               string
@@ -149,9 +149,9 @@
 		for _, losses := range []int{1, 2} {
 			for moment := row.from; moment < row.to; moment += row.step {
 				chance := rand.New(rand.NewPCG(uint64(moment), uint64(losses)))
-				c := newFounding(t, losses, chance)
+				c := newBootstrapCluster(t, losses, chance)
 				c.founders = strings.Split(row.seeds, "")
-				c.slow = func(address string) time.Duration {
+				c.diskDelayOf = func(address string) time.Duration {
 					switch {
 					case address == c.founders[0]:
 						return row.founder
@@ -163,19 +163,19 @@
 				for _, address := range c.machines {
 					c.add(address)
 				}
-				c.pass(time.Duration(moment) * stride)
+				c.advance(time.Duration(moment) * tickStep)
 				c.losePower(row.all, losses)
-				c.slow = nil
+				c.diskDelayOf = nil
 				c.firstStart = slices.ContainsFunc(c.founders, func(address string) bool {
-					return len(c.host(address).disk.Stored().Records) == 0
+					return len(c.node(address).disk.Load().Records) == 0
 				})
-				c.pass(time.Duration(chance.IntN(100)) * stride)
-				for _, at := range chance.Perm(len(c.hosts)) {
-					c.start(c.hosts[at])
+				c.advance(time.Duration(chance.IntN(100)) * tickStep)
+				for _, at := range chance.Perm(len(c.nodes)) {
+					c.start(c.nodes[at])
 				}
-				c.founded(losses)
+				c.checkBootstrapped(losses)
 				if t.Failed() {
-					t.Fatalf("%s, f=%d, power lost at %d ms, seeds %v\n%s", row.name, losses, moment, c.founders, c.tell(60))
+					t.Fatalf("%s, f=%d, power lost at %d ms, seeds %v\n%s", row.name, losses, moment, c.founders, c.recentLog(60))
 				}
 			}
 		}
@@ -183,9 +183,9 @@
 }
 
 // losePower takes the power from all machines, or from so many seeds.
-func (c *founding) losePower(all bool, losses int) {
+func (c *bootstrapCluster) losePower(all bool, losses int) {
 	down := 0
-	for _, h := range c.hosts {
+	for _, h := range c.nodes {
 		seed := slices.Contains(c.founders, h.address)
 		if !all && (!seed || down == losses) {
 			continue
@@ -197,26 +197,26 @@
 
 // TestASecondFirstStartFoundsNothing restarts wiped machines, as many as may be lost, that
 // are told again that it is the first start, with seeds that are not those of before.
-func TestASecondFirstStartFoundsNothing(t *testing.T) {
+func TestSecondFirstStartBootstrapsNothing(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for seed := range uint64(4) {
 			chance := rand.New(rand.NewPCG(seed, uint64(losses)))
-			c := newFounding(t, losses, chance)
+			c := newBootstrapCluster(t, losses, chance)
 			c.startAll(chance)
-			c.founded(losses)
-			lost := chance.Perm(len(c.hosts))[:losses]
+			c.checkBootstrapped(losses)
+			lost := chance.Perm(len(c.nodes))[:losses]
 			for _, at := range lost {
-				c.wipe(c.hosts[at])
+				c.wipe(c.nodes[at])
 			}
-			c.founders = []string{c.hosts[lost[0]].address, c.hosts[lost[losses-1]].address, c.hosts[chance.IntN(10)].address}
+			c.founders = []string{c.nodes[lost[0]].address, c.nodes[lost[losses-1]].address, c.nodes[chance.IntN(10)].address}
 			for _, at := range lost {
-				c.start(c.hosts[at])
+				c.start(c.nodes[at])
 			}
-			c.settled(fmt.Sprintf("seed %d", seed), serveAgain)
-			c.pass(catchUpFive)
-			c.check()
+			c.checkServes(fmt.Sprintf("seed %d", seed), failoverBound)
+			c.advance(catchUpOfFive)
+			c.checkAnswered()
 			if t.Failed() {
-				t.Fatalf("f=%d seed %d\n%s", losses, seed, c.tell(60))
+				t.Fatalf("f=%d seed %d\n%s", losses, seed, c.recentLog(60))
 			}
 		}
 	}
--- a/core/keeper/control_serve_test.go
+++ b/core/keeper/control_serve_test.go
@@ -9,14 +9,14 @@
 )
 
 // disksWith counts the disks of the view's members that hold a plan at least as new.
-func (c *trio) disksWith(v wire.View, sequence uint64) (count int) {
-	for _, seat := range append([]wire.Seat{v.Primary}, v.Backups...) {
-		h := c.host(seat.Address)
-		k, err := New(Env{}, h.disk.Stored())
+func (c *cluster) countDisksWith(v wire.View, sequence uint64) (count int) {
+	for _, seat := range append([]wire.Member{v.Primary}, v.Backups...) {
+		h := c.node(seat.Address)
+		r, err := New(Config{}, h.disk.Load())
 		if err != nil {
 			c.t.Fatalf("%s: %v", h.address, err)
 		}
-		if k.Ledger().Plan().Sequence >= sequence {
+		if r.Store().Config().Version >= sequence {
 			count++
 		}
 	}
@@ -25,33 +25,33 @@
 
 // TestAReadRestsOnAsManyDisks has a primary hand over for its slow disk, and the disk of the
 // next one stall in that moment, with commands that it has not synced.
-func TestAReadRestsOnAsManyDisks(t *testing.T) {
+func TestReadsAreAsDurableAsWrites(t *testing.T) {
 	for _, phase := range []int{0, 3, 9} {
-		c := newFive(t)
-		c.each = 10 * time.Millisecond
-		c.onRead = func(h *host, b wire.CommandBackBody) {
-			if disks := c.disksWith(h.k.View(), b.Answer.Sequence); disks < 3 {
-				t.Errorf("%s let plan %d be read at %s, which %d disks hold", h.address, b.Answer.Sequence, c.now, disks)
+		c := newClusterOfFive(t)
+		c.writeInterval = 10 * time.Millisecond
+		c.onRead = func(h *node, b wire.CommandReply) {
+			if disks := c.countDisksWith(h.replica.View(), b.Result.ConfigVersion); disks < 3 {
+				t.Errorf("%s let plan %d be read at %s, which %d disks hold", h.address, b.Result.ConfigVersion, c.now, disks)
 			}
 		}
-		c.reads = true
-		c.yes()
-		c.late = func(from, to, kind string) time.Duration {
-			if kind == wire.Replicate && to == "e" {
-				return 20 * stride
+		c.readerRuns = true
+		c.advanceToAnswer()
+		c.delay = func(from, to, kind string) time.Duration {
+			if kind == wire.KindReplicate && to == "e" {
+				return 20 * tickStep
 			}
 			return 0
 		}
-		a, b := c.host("a"), c.host("b")
-		a.slow = 3 * time.Second
-		for from := c.now; c.logs["view_proposed"] == 0 && c.now-from < 2*time.Second; {
-			c.pass(stride)
+		a, b := c.node("a"), c.node("b")
+		a.diskDelay = 3 * time.Second
+		for from := c.now; c.events["view_proposed"] == 0 && c.now-from < 2*time.Second; {
+			c.advance(tickStep)
 		}
-		c.pass(time.Duration(phase) * stride)
-		b.slow = 3 * time.Second
-		c.pass(600 * time.Millisecond)
+		c.advance(time.Duration(phase) * tickStep)
+		b.diskDelay = 3 * time.Second
+		c.advance(600 * time.Millisecond)
 		if t.Failed() {
-			t.Fatalf("phase %d\n%s", phase, c.tell(30))
+			t.Fatalf("phase %d\n%s", phase, c.recentLog(30))
 		}
 	}
 }
--- a/core/keeper/control_time_test.go
+++ b/core/keeper/control_time_test.go
@@ -11,27 +11,27 @@
 	"sorrelloom/core/machine"
 )
 
-const askEach = 10 * time.Millisecond
+const probeInterval = 10 * time.Millisecond
 
 // gapAfter loses a machine and gives the time until the next answer to a request that
 // was sent after the loss.
-func (c *trio) gapAfter(lose func()) time.Duration {
-	c.yes()
-	c.idle = true
-	c.pass(time.Duration(len(c.log)%7) * stride)
+func (c *cluster) measureGap(lose func()) time.Duration {
+	c.advanceToAnswer()
+	c.writerPaused = true
+	c.advance(time.Duration(len(c.log)%7) * tickStep)
 	from := c.now
 	lose()
 	for c.now-from < 12*time.Second {
-		if (c.now-from)%askEach == 0 {
+		if (c.now-from)%probeInterval == 0 {
 			c.write()
 		}
-		c.pass(stride)
-		if c.last > from+2*stride {
+		c.advance(tickStep)
+		if c.lastAnswerAt > from+2*tickStep {
 			break
 		}
 	}
 	gap := c.now - from
-	c.idle = false
+	c.writerPaused = false
 	return gap
 }
 
@@ -42,33 +42,33 @@
 	missed := 1300 * time.Millisecond // suspicion, a line that was just heard, two rounds of votes
 	for _, row := range []struct {
 		part, name   string
-		lose         func(c *trio, h *host)
+		lose         func(c *cluster, h *node)
 		p50, longest time.Duration
 	}{
-		{"primary", "killed", (*trio).kill, missed, missed},
-		{"primary", "power lost and back after 300 ms", func(c *trio, h *host) {
+		{"primary", "killed", (*cluster).kill, missed, missed},
+		{"primary", "power lost and back after 300 ms", func(c *cluster, h *node) {
 			c.kill(h)
-			c.after(300*stride, func() { c.start(h) })
+			c.schedule(300*tickStep, func() { c.start(h) })
 		}, time.Second, missed},
-		{"primary", "cut", func(c *trio, h *host) { h.cut = true }, missed, missed},
-		{"primary", "frozen", (*trio).freeze, missed, missed},
-		{"primary", "planned leave", (*trio).askToStop, 100 * time.Millisecond, 150 * time.Millisecond},
-		{"backup", "killed", (*trio).kill, missed, missed},
-		{"backup", "planned leave", (*trio).askToStop, 100 * time.Millisecond, 150 * time.Millisecond},
-		{"third", "killed", (*trio).kill, 50 * time.Millisecond, 50 * time.Millisecond},
+		{"primary", "cut", func(c *cluster, h *node) { h.isolated = true }, missed, missed},
+		{"primary", "frozen", (*cluster).freeze, missed, missed},
+		{"primary", "planned leave", (*cluster).askToStop, 100 * time.Millisecond, 150 * time.Millisecond},
+		{"backup", "killed", (*cluster).kill, missed, missed},
+		{"backup", "planned leave", (*cluster).askToStop, 100 * time.Millisecond, 150 * time.Millisecond},
+		{"third", "killed", (*cluster).kill, 50 * time.Millisecond, 50 * time.Millisecond},
 	} {
 		for _, losses := range []int{1, 2} {
 			var gaps []time.Duration
 			for seed := range uint64(seeds) {
 				chance := rand.New(rand.NewPCG(seed, uint64(losses)))
-				c := sized(t, losses)
-				c.pass(time.Duration(chance.IntN(300)) * stride)
-				for _, h := range c.hosts {
-					h.slow = time.Duration(chance.IntN(8)) * stride
+				c := newClusterTolerating(t, losses)
+				c.advance(time.Duration(chance.IntN(300)) * tickStep)
+				for _, h := range c.nodes {
+					h.diskDelay = time.Duration(chance.IntN(8)) * tickStep
 				}
-				h := c.of(row.part)
-				gaps = append(gaps, c.gapAfter(func() { row.lose(c, h) }))
-				c.check()
+				h := c.nodeByRole(row.part)
+				gaps = append(gaps, c.measureGap(func() { row.lose(c, h) }))
+				c.checkAnswered()
 			}
 			slices.Sort(gaps)
 			p50, longest := gaps[len(gaps)/2], gaps[len(gaps)-1]
@@ -82,4 +82,4 @@
 }
 
 // askToStop has a process leave in order.
-func (c *trio) askToStop(h *host) { c.step(h, machine.Input{Stop: true}) }
+func (c *cluster) askToStop(h *node) { c.step(h, machine.Input{Stop: true}) }
--- a/core/keeper/control_variant_test.go
+++ b/core/keeper/control_variant_test.go
@@ -11,159 +11,159 @@
 )
 
 // recorder counts failures in place of failing.
-type recorder struct {
+type failureCounter struct {
 	testing.TB
 	failures int
 }
 
-func (r *recorder) Errorf(string, ...any) { r.failures++ }
+func (r *failureCounter) Errorf(string, ...any) { r.failures++ }
 
 // without says whether a scenario fails with a variant, and wants it to hold without.
-func without(t *testing.T, scenario func(c *trio), variant func(c *trio) func(h *host)) {
+func checkVariant(t *testing.T, scenario func(c *cluster), variant func(c *cluster) func(h *node)) {
 	t.Helper()
 	for _, broken := range []bool{false, true} {
-		r := &recorder{TB: t}
-		c := newTrio(r)
+		r := &failureCounter{TB: t}
+		c := newCluster(r)
 		if broken {
-			c.variant = variant(c)
+			c.mutate = variant(c)
 		}
 		scenario(c)
 		if broken != (r.failures > 0) {
-			t.Errorf("variant %v: %d failures\n%s", broken, r.failures, c.tell(40))
+			t.Errorf("variant %v: %d failures\n%s", broken, r.failures, c.recentLog(40))
 		}
 	}
 }
 
 // TestVariantsAreFound takes out one mechanism after the other.
-func TestVariantsAreFound(t *testing.T) {
+func TestBrokenVariantsAreDetected(t *testing.T) {
 	t.Run("a leader that believes that it is heard", func(t *testing.T) {
-		without(t, cutPrimary("both"), func(*trio) func(h *host) { return believesItself })
+		checkVariant(t, isolatedPrimary("both"), func(*cluster) func(h *node) { return fakeConfirmations })
 	})
 	t.Run("a leader that sends heartbeats though it hears nobody", func(t *testing.T) {
-		without(t, cutPrimary("to"), func(c *trio) func(h *host) {
-			return func(h *host) {
-				for _, s := range h.k.View().Witnesses {
-					h.k.found[s.Address] = finding{wire.FoundBody{Seat: s}, c.now - h.boot}
+		checkVariant(t, isolatedPrimary("to"), func(c *cluster) func(h *node) {
+			return func(h *node) {
+				for _, s := range h.replica.View().Voters {
+					h.replica.announcements[s.Address] = announcement{wire.BootstrapStatus{Member: s}, c.now - h.startedAt}
 				}
 			}
 		})
 	})
 	t.Run("acks before the disk has it", func(t *testing.T) {
-		without(t, allLosePower, func(c *trio) func(h *host) {
-			c.lyingDisks = true
-			return func(h *host) { h.slow = 30 * stride }
+		checkVariant(t, powerLossOfAll, func(c *cluster) func(h *node) {
+			c.earlySyncDisks = true
+			return func(h *node) { h.diskDelay = 30 * tickStep }
 		})
 	})
 	t.Run("a member that is behind and leads", func(t *testing.T) {
-		without(t, behindAlone, func(*trio) func(h *host) { return takesItselfForBackup })
+		checkVariant(t, laggingMemberAlone, func(*cluster) func(h *node) { return fakeBackupRole })
 	})
 	t.Run("an empty disk with the identity of the old one", func(t *testing.T) {
-		without(t, wipedWitness, func(c *trio) func(h *host) {
-			c.tune = func(h *host, env *Env) { env.FreshID = h.address + "-1" }
-			return func(*host) {}
+		checkVariant(t, wipedVoter, func(c *cluster) func(h *node) {
+			c.configure = func(h *node, env *Config) { env.NewID = h.address + "-1" }
+			return func(*node) {}
 		})
 	})
 	t.Run("a replaced leader that keeps its epoch", func(t *testing.T) {
-		without(t, frozenPrimary, func(*trio) func(h *host) { return believesItself })
+		checkVariant(t, frozenPrimary, func(*cluster) func(h *node) { return fakeConfirmations })
 	})
 }
 
 // believesItself has a leader take all its backups for heard, up to date and agreeing.
-func believesItself(h *host) {
-	for _, s := range h.k.View().Backups {
-		if h.k.leads() {
-			h.k.peers[s.ID] = peer{heardAt: math.MaxInt64 / 2, at: h.k.ledger.Position(), synced: true, token: math.MaxUint64}
+func fakeConfirmations(h *node) {
+	for _, s := range h.replica.View().Backups {
+		if h.replica.isPrimary() {
+			h.replica.peers[s.ID] = progress{heardAt: math.MaxInt64 / 2, match: h.replica.store.Position(), replicating: true, ackedSendID: math.MaxUint64}
 		}
 	}
 }
 
 // takesItselfForBackup has a witness that is not named hold that it is a backup.
-func takesItselfForBackup(h *host) {
-	if v := h.k.View(); v.Epoch > 0 && !h.k.leads() && !h.k.backs() {
-		v.Backups = []wire.Seat{h.k.seat}
-		h.k.witness.Known = v
+func fakeBackupRole(h *node) {
+	if v := h.replica.View(); v.Epoch > 0 && !h.replica.isPrimary() && !h.replica.isBackup() {
+		v.Backups = []wire.Member{h.replica.self}
+		h.replica.acceptor.KnownView = v
 	}
 }
 
 // cutPrimary cuts the lines of the primary; clients still reach it.
-func cutPrimary(direction string) func(c *trio) {
-	return func(c *trio) {
-		c.reads = true
-		c.yes()
-		c.cutLines(c.of("primary"), direction)
-		c.settled("cut", serveAgain)
-		c.pass(5 * time.Second)
-		c.late = nil
-		c.pass(catchUpThree)
-		c.check()
+func isolatedPrimary(direction string) func(c *cluster) {
+	return func(c *cluster) {
+		c.readerRuns = true
+		c.advanceToAnswer()
+		c.cutMessages(c.nodeByRole("primary"), direction)
+		c.checkServes("cut", failoverBound)
+		c.advance(5 * time.Second)
+		c.delay = nil
+		c.advance(catchUpOfThree)
+		c.checkAnswered()
 	}
 }
 
 // frozenPrimary freezes the primary for as long as others need to serve in its place.
-func frozenPrimary(c *trio) {
-	c.reads = true
-	c.yes()
-	h := c.of("primary")
-	c.cutLines(h, "both")
+func frozenPrimary(c *cluster) {
+	c.readerRuns = true
+	c.advanceToAnswer()
+	h := c.nodeByRole("primary")
+	c.cutMessages(h, "both")
 	c.freeze(h)
-	c.pass(cutFor)
+	c.advance(isolationTime)
 	c.thaw(h)
-	c.pass(time.Second)
-	c.late = nil
-	c.pass(catchUpThree)
-	c.settled("thawed", serveAgain)
+	c.advance(time.Second)
+	c.delay = nil
+	c.advance(catchUpOfThree)
+	c.checkServes("thawed", failoverBound)
 }
 
 // allLosePower takes the power from all in the moment of an answer.
-func allLosePower(c *trio) {
+func powerLossOfAll(c *cluster) {
 	for range 4 {
-		c.yes()
-		for _, h := range c.hosts {
+		c.advanceToAnswer()
+		for _, h := range c.nodes {
 			c.kill(h)
 		}
-		for _, h := range c.hosts {
+		for _, h := range c.nodes {
 			c.start(h)
 		}
-		c.idle = true
-		c.pass(2 * time.Second)
-		c.check()
-		c.idle = false
-		c.settled("all lost power", serveAgain)
+		c.writerPaused = true
+		c.advance(2 * time.Second)
+		c.checkAnswered()
+		c.writerPaused = false
+		c.checkServes("all lost power", failoverBound)
 	}
 }
 
 // behindAlone has the third miss changes and come back alone, before the primary does.
-func behindAlone(c *trio) {
-	c.yes()
-	third, backup := c.of("third"), c.of("backup")
+func laggingMemberAlone(c *cluster) {
+	c.advanceToAnswer()
+	third, backup := c.nodeByRole("third"), c.nodeByRole("backup")
 	c.kill(third)
-	c.pass(time.Second)
-	c.yes()
-	primary := c.of("primary")
+	c.advance(time.Second)
+	c.advanceToAnswer()
+	primary := c.nodeByRole("primary")
 	c.kill(primary)
 	c.kill(backup)
 	c.start(third)
 	answered := len(c.answered)
-	c.pass(5 * time.Second)
+	c.advance(5 * time.Second)
 	if len(c.answered) != answered {
 		c.t.Errorf("one that is behind answered alone")
 	}
 	c.start(primary)
-	c.pass(serveAgain)
-	c.check()
+	c.advance(failoverBound)
+	c.checkAnswered()
 }
 
 // wipedWitness wipes the third in the view and cuts the primary off: the backup and an
 // empty disk are no majority.
-func wipedWitness(c *trio) {
-	c.yes()
-	third := c.of("third")
-	primary := c.of("primary")
-	primary.cut = true
+func wipedVoter(c *cluster) {
+	c.advanceToAnswer()
+	third := c.nodeByRole("third")
+	primary := c.nodeByRole("primary")
+	primary.isolated = true
 	c.wipe(third)
 	answered := len(c.answered)
 	c.start(third)
-	c.pass(5 * time.Second)
+	c.advance(5 * time.Second)
 	if len(c.answered) != answered {
 		c.t.Errorf("answered with one old disk of three")
 	}
--- a/core/keeper/install.go
+++ b/core/keeper/install.go
@@ -13,72 +13,72 @@
 const (
 	// askFirst and askLast bound how long a chunk is waited for until it is asked for
 	// again.
-	askFirst = 500 * time.Millisecond
-	askLast  = 2 * time.Second
+	firstChunkTimeout = 500 * time.Millisecond
+	maxChunkTimeout   = 2 * time.Second
 )
 
 // incoming is the state of another keeper, as far as its chunks have come.
-type incoming struct {
-	from    string
-	sender  wire.Seat
-	boot    uint64
-	epoch   uint64
-	base    ledger.Position // where this keeper stood when it began
-	at      ledger.Position // of the state
-	next    int
-	loader  *ledger.Loader
-	sum     digest
-	askedAt time.Duration
-	wait    time.Duration
+type incomingTransfer struct {
+	senderAddress string
+	sender        wire.Member
+	boot          uint64
+	epoch         uint64
+	basePosition  ledger.LogPosition // where this keeper stood when it began
+	position      ledger.LogPosition // of the state
+	nextChunk     int
+	loader        *ledger.Loader
+	checksum      digest
+	requestedAt   time.Duration
+	timeout       time.Duration
 }
 
-func (i *incoming) belongs(b wire.SnapshotBody) bool {
-	return i != nil && i.sender.ID == b.From.ID && i.boot == b.Boot && i.at == b.At && i.base == b.For
+func (i *incomingTransfer) matches(b wire.SnapshotChunk) bool {
+	return i != nil && i.sender.ID == b.From.ID && i.boot == b.BootID && i.position == b.Position && i.basePosition == b.ReceiverPosition
 }
 
 // chunk takes the next chunk and asks for the one after it. Others are passed over:
 // doubled ones, and those of a transfer that was begun before another.
-func (k *Keeper) chunk(now time.Duration, from string, b wire.SnapshotBody, out *machine.Output) {
-	if k.bouncedView(now, from, b.View, b.From, b.Boot, b.Token, out) {
+func (r *Replica) handleChunk(now time.Duration, from string, b wire.SnapshotChunk, out *machine.Output) {
+	if r.rejectStaleSender(now, from, b.View, b.From, b.BootID, b.SendID, out) {
 		return
 	}
-	if b.For != k.ledger.Position() {
+	if b.ReceiverPosition != r.store.Position() {
 		// This keeper has moved on, and must not go back.
-		k.incoming = nil
+		r.incoming = nil
 		return
 	}
-	if b.Index == 0 && !k.incoming.belongs(b) {
-		k.incoming = &incoming{
-			from: from, sender: b.From, boot: b.Boot, epoch: b.View.Epoch, base: b.For, at: b.At,
-			loader: ledger.NewLoader(), sum: digestOf(b.At),
+	if b.ChunkIndex == 0 && !r.incoming.matches(b) {
+		r.incoming = &incomingTransfer{
+			senderAddress: from, sender: b.From, boot: b.BootID, epoch: b.View.Epoch, basePosition: b.ReceiverPosition, position: b.Position,
+			loader: ledger.NewLoader(), checksum: digestOf(b.Position),
 		}
 	}
-	in := k.incoming
-	if !in.belongs(b) || b.Index != in.next {
+	in := r.incoming
+	if !in.matches(b) || b.ChunkIndex != in.nextChunk {
 		return
 	}
-	if err := in.add(b.Records); err != nil {
-		k.incoming = nil
-		out.Log("snapshot_damaged", "from", from, "chunk", b.Index, "why", err.Error())
+	if err := in.addChunk(b.Records); err != nil {
+		r.incoming = nil
+		out.Log("snapshot_damaged", "from", from, "chunk", b.ChunkIndex, "why", err.Error())
 		return
 	}
 	if !b.Last {
-		in.wait = askFirst
-		k.askChunk(now, out)
+		in.timeout = firstChunkTimeout
+		r.requestChunk(now, out)
 		return
 	}
-	k.incoming = nil
-	l, err := in.loader.Ledger()
-	if err != nil || in.sum.String() != b.Digest || l.Position() != b.At {
-		out.Log("snapshot_damaged", "from", from, "chunk", b.Index)
+	r.incoming = nil
+	store, err := in.loader.Store()
+	if err != nil || in.checksum.String() != b.Digest || store.Position() != b.Position {
+		out.Log("snapshot_damaged", "from", from, "chunk", b.ChunkIndex)
 		return
 	}
-	k.install(l)
-	out.Log("snapshot_installed", "from", from, "epoch", b.At.Epoch, "sequence", b.At.Sequence, "chunks", in.next)
-	k.willAck(from, b.Boot, b.View.Epoch, b.Token)
+	r.installSnapshot(store)
+	out.Log("snapshot_installed", "from", from, "epoch", b.Position.Epoch, "sequence", b.Position.Index, "chunks", in.nextChunk)
+	r.queueAck(from, b.BootID, b.View.Epoch, b.SendID)
 }
 
-func (i *incoming) add(chunk json.RawMessage) error {
+func (i *incomingTransfer) addChunk(chunk json.RawMessage) error {
 	var records []machine.Record
 	if err := json.Unmarshal(chunk, &records); err != nil {
 		return err
@@ -88,36 +88,36 @@
 			return err
 		}
 	}
-	i.sum = i.sum.with(chunk)
-	i.next++
+	i.checksum = i.checksum.extend(chunk)
+	i.nextChunk++
 	return nil
 }
 
 // install goes on from another keeper's state. Nothing of it is on the disk yet.
-func (k *Keeper) install(l *ledger.Ledger) {
-	k.ledger, k.entries = l, nil
-	k.reset()
-	k.forget(0)
-	k.drop, k.commands, k.replaced = 0, nil, true
+func (r *Replica) installSnapshot(store *ledger.Store) {
+	r.store, r.auditEntries = store, nil
+	r.resetLog()
+	r.forgetAfter(0)
+	r.logTruncation, r.unwrittenCommands, r.replaceLog = 0, nil, true
 }
 
-func (k *Keeper) askChunk(now time.Duration, out *machine.Output) {
-	in := k.incoming
-	in.askedAt = now
-	out.Send(in.from, wire.SnapshotAsk, wire.SnapshotAskBody{
-		Boot: in.boot, Epoch: in.epoch, From: k.seat, At: in.at, Index: in.next,
+func (r *Replica) requestChunk(now time.Duration, out *machine.Output) {
+	in := r.incoming
+	in.requestedAt = now
+	out.Send(in.senderAddress, wire.KindSnapshotRequest, wire.SnapshotRequest{
+		BootID: in.boot, Epoch: in.epoch, From: r.self, Position: in.position, ChunkIndex: in.nextChunk,
 	})
 }
 
 // askAgain asks for a chunk that has not come, ever more rarely.
-func (k *Keeper) askAgain(now time.Duration, out *machine.Output) {
-	if k.incoming == nil || now-k.incoming.askedAt < k.incoming.wait {
+func (r *Replica) retryChunkRequest(now time.Duration, out *machine.Output) {
+	if r.incoming == nil || now-r.incoming.requestedAt < r.incoming.timeout {
 		return
 	}
-	if k.incoming.wait >= askLast {
-		k.incoming = nil
+	if r.incoming.timeout >= maxChunkTimeout {
+		r.incoming = nil
 		return
 	}
-	k.incoming.wait *= 2
-	k.askChunk(now, out)
+	r.incoming.timeout *= 2
+	r.requestChunk(now, out)
 }
--- a/core/keeper/keeper.go
+++ b/core/keeper/keeper.go
@@ -19,351 +19,353 @@
 	"sorrelloom/core/wire"
 )
 
-type Env struct {
+type Config struct {
 	Address  string
-	Site     string
+	Zone     string
 	Founders []string
-	FreshID  string
-	Boot     uint64
+	NewID    string
+	BootID   uint64
 	// Copies is how many backups a view has, at least 1: that many disks may be lost at once.
-	Copies int
+	BackupCount int
 	// Dispatches says that a dispatcher in the same process takes the changes.
-	Dispatches bool
+	HasDispatcher bool
 }
 
 const (
-	heartbeat  = 150 * time.Millisecond
-	suspect    = 1000 * time.Millisecond
-	vanished   = 1500 * time.Millisecond
-	followFor  = 3 * time.Second
-	inFlight   = 4096
-	entryMax   = 1024
-	apart      = 150 * time.Millisecond
-	foundWait  = 3 * time.Second
-	diskLate   = 400 * time.Millisecond
-	backoffMax = 3 * time.Second
-	dueEach    = 50 * time.Millisecond
-	gather     = 4 * time.Millisecond
+	heartbeatInterval  = 150 * time.Millisecond
+	suspectTimeout     = 1000 * time.Millisecond
+	memberLossTimeout  = 1500 * time.Millisecond
+	subscriptionTTL    = 3 * time.Second
+	maxPendingCommands = 4096
+	maxAuditEntries    = 1024
+	candidacyDelay     = 150 * time.Millisecond
+	bootstrapWait      = 3 * time.Second
+	slowDiskTimeout    = 400 * time.Millisecond
+	maxProposalBackoff = 3 * time.Second
+	tickInterval       = 50 * time.Millisecond
+	batchInterval      = 4 * time.Millisecond
 	// retryAfter is the least time after which a rejected command may come back.
-	retryAfter = time.Second
+	minRetryAfter = time.Second
 	// catchUp is how long a line that begins anew is given to have its effect.
-	catchUp = 2 * time.Second
+	resendTimeout = 2 * time.Second
 	// leaveWithin is how long a backup that is stopped waits for another in its place.
-	leaveWithin = 600 * time.Millisecond
+	successorTimeout = 600 * time.Millisecond
 )
 
 const (
-	bucketSelf  = "keeper"
-	keyIdentity = "identity"
-	keyRegister = "register"
-	keyStands   = "stands"
-	keyFounders = "founders"
+	bucketReplica     = "keeper"
+	keyIdentity       = "identity"
+	keyAcceptor       = "register"
+	keyCandidateEpoch = "stands"
+	keyFounders       = "founders"
 )
 
 // peer is what a keeper knows of another one in this epoch.
-type peer struct {
-	heardAt time.Duration
-	at      ledger.Position // what it acked last
-	synced  bool
-	token   uint64
-	stands  bool // it wants to lead itself: its acks commit nothing in this epoch
-	leaves  bool // it is being stopped
+type progress struct {
+	heardAt     time.Duration
+	match       ledger.LogPosition // what it acked last
+	replicating bool
+	ackedSendID uint64
+	candidate   bool // it wants to lead itself: its acks commit nothing in this epoch
+	stopping    bool // it is being stopped
 	// mark is a sequence that was sent and not acked when this was last looked at.
-	mark   uint64
-	markAt time.Duration
+	awaitedIndex uint64
+	awaitedSince time.Duration
 	// next is where the lines sent to it end, confirmed where it last said that it is.
-	next      ledger.Position
-	confirmed ledger.Position
-	lineAt    time.Duration // when the last line for it alone was sent
+	sentUpTo    ledger.LogPosition
+	windowStart ledger.LogPosition
+	probedAt    time.Duration // when the last line for it alone was sent
 	// resentAt and resentToken are of the last line that began anew where it said
 	// that it is.
-	resentAt    time.Duration
-	resentToken uint64
-	transfer    outgoing
+	resentAt     time.Duration
+	resentSendID uint64
+	transfer     outgoingTransfer
 }
 
-type pending struct {
-	to       string
-	body     wire.CommandBackBody
-	sequence uint64
-	token    uint64
-	takenAt  time.Duration
+type pendingReply struct {
+	to         string
+	body       wire.CommandReply
+	index      uint64
+	sendID     uint64
+	receivedAt time.Duration
 }
 
-type ack struct {
-	to       string
-	body     wire.ReplicateAckBody
-	sequence uint64
+type pendingAck struct {
+	to    string
+	body  wire.ReplicateAck
+	index uint64
 }
 
-type after struct {
-	sends    []machine.Send
-	sequence uint64
-	stands   uint64
+type inFlightWrite struct {
+	sends          []machine.OutgoingMessage
+	index          uint64
+	candidateEpoch uint64
 }
 
 // finding is what another keeper said of itself, and when.
-type finding struct {
-	wire.FoundBody
-	at time.Duration
+type announcement struct {
+	wire.BootstrapStatus
+	receivedAt time.Duration
 }
 
-type follower struct {
-	at    ledger.Position
-	until time.Duration
+type subscriber struct {
+	position  ledger.LogPosition
+	expiresAt time.Duration
 }
 
-type Keeper struct {
-	env  Env
-	seat wire.Seat
-	born bool // its identity is synced
+type Replica struct {
+	config         Config
+	self           wire.Member
+	identitySynced bool // its identity is synced
 	// founded is the first view as this founder made it; write foundedBy has it synced.
-	founded   wire.View
-	foundedBy uint64
-	witness   register.State
-	proposal  register.Proposal
-	asked     wire.Ballot
-	triedAt   time.Duration
+	bootstrapView  wire.View
+	bootstrapWrite uint64
+	acceptor       register.Acceptor
+	proposal       register.Proposal
+	lastBallot     wire.Ballot
+	proposedAt     time.Duration
 	// stands is the epoch in which this backup wants to lead the next, stood the
 	// same once it is synced, also those that a primary named for the next.
-	stands uint64
-	stood  uint64
-	named  []wire.Seat
+	candidateEpoch       uint64
+	syncedCandidateEpoch uint64
+	proposedBackups      []wire.Member
 
-	ledger    *ledger.Ledger
-	tail      ledger.Tail
-	sent      ledger.Position
-	committed uint64
-	synced    uint64
-	token     uint64
+	store        *ledger.Store
+	logTail      ledger.LogSuffix
+	broadcastEnd ledger.LogPosition
+	commitIndex  uint64
+	syncedIndex  uint64
+	lastSendID   uint64
 
 	serving bool
 	// resuming says that this process keeps the lead from the view before, and serves
 	// on once the new backups have everything; terms counts the times it began anew.
-	resuming  bool
-	terms     uint64
-	waiting   []waitingCommand
-	startAt   time.Duration
-	leadingAt time.Duration
-	beganAt   time.Duration
-	beatAt    time.Duration
-	soughtAt  time.Duration
-	dueAt     time.Duration
-	peers     map[string]peer
-	answers   []pending
-	acks      []ack
+	resuming        bool
+	terms           uint64
+	waitingCommands []waitingCommand
+	startedAt       time.Duration
+	termStartTime   time.Duration
+	viewSince       time.Duration
+	broadcastAt     time.Duration
+	viewRequestedAt time.Duration
+	nextTickAt      time.Duration
+	peers           map[string]progress
+	pendingReplies  []pendingReply
+	pendingAcks     []pendingAck
 	// For the next batch: the keeper's own records, how many commands to drop from the
 	// log, those to append to it, and whether its snapshot takes the log's place.
-	records  []machine.Record
-	drop     int
-	commands []json.RawMessage
-	replaced bool
+	unwrittenRecords  []machine.Record
+	logTruncation     int
+	unwrittenCommands []json.RawMessage
+	replaceLog        bool
 	// snapshotAt is where the last snapshot on the disk stands.
-	snapshotAt  ledger.Position
-	checkpoints checkpoints
-	source      *source
-	incoming    *incoming
+	snapshotPosition ledger.LogPosition
+	checkpoints      checkpoints
+	source           *snapshotSource
+	incoming         *incomingTransfer
 	// snapshotDue says that the log on the disk has grown long.
-	snapshotDue bool
-	sends       []machine.Send
-	writing     map[uint64]after
-	nextWrite   uint64
-	wroteAt     time.Duration
-	followers   map[string]follower
-	copies      map[string]wire.NewsBody
-	told        uint64
-	entries     []ledger.Entry
-	found       map[string]finding
-	nodes       []wire.Node
-	flushedAt   time.Duration
-	own         []wire.CommandBackBody
-	wall        time.Time
-	stopping    bool
-	stoppedAt   time.Duration
-	wakeAt      time.Duration
+	snapshotDue      bool
+	sendsAfterSync   []machine.OutgoingMessage
+	inFlightWrites   map[uint64]inFlightWrite
+	lastWriteID      uint64
+	writeStartedAt   time.Duration
+	subscribers      map[string]subscriber
+	pendingSnapshots map[string]wire.FeedUpdate
+	publishedIndex   uint64
+	auditEntries     []ledger.AuditEntry
+	announcements    map[string]announcement
+	nodes            []wire.Node
+	flushedAt        time.Duration
+	localReplies     []wire.CommandReply
+	wallClock        time.Time
+	stopping         bool
+	stopRequestedAt  time.Duration
+	nextTimer        time.Duration
 }
 
 // New rebuilds a keeper from its disk. Without an identity there it is a new
 // keeper, whatever stood at its address before.
-func New(env Env, stored machine.Stored) (*Keeper, error) {
-	k := &Keeper{
-		env: env, peers: map[string]peer{}, writing: map[uint64]after{}, followers: map[string]follower{},
-		copies: map[string]wire.NewsBody{}, found: map[string]finding{},
+func New(env Config, stored machine.StoredState) (*Replica, error) {
+	r := &Replica{
+		config: env, peers: map[string]progress{}, inFlightWrites: map[uint64]inFlightWrite{}, subscribers: map[string]subscriber{},
+		pendingSnapshots: map[string]wire.FeedUpdate{}, announcements: map[string]announcement{},
 	}
-	k.seat = wire.Seat{Address: env.Address, Site: env.Site}
+	r.self = wire.Member{Address: env.Address, Zone: env.Zone}
 	var rest []machine.Record
-	for _, r := range stored.Records {
+	for _, record := range stored.Records {
 		var err error
 		switch {
-		case r.Bucket != bucketSelf:
-			rest = append(rest, r)
-		case r.Key == keyIdentity:
-			err = json.Unmarshal(r.Value, &k.seat.ID)
-		case r.Key == keyRegister:
-			err = k.load(r.Value)
-		case r.Key == keyStands:
-			err = json.Unmarshal(r.Value, &k.stands)
-			k.stood = k.stands
-		case r.Key == keyFounders && len(env.Founders) == 0:
-			err = json.Unmarshal(r.Value, &k.env.Founders)
+		case record.Bucket != bucketReplica:
+			rest = append(rest, record)
+		case record.Key == keyIdentity:
+			err = json.Unmarshal(record.Value, &r.self.ID)
+		case record.Key == keyAcceptor:
+			err = r.restoreAcceptor(record.Value)
+		case record.Key == keyCandidateEpoch:
+			err = json.Unmarshal(record.Value, &r.candidateEpoch)
+			r.syncedCandidateEpoch = r.candidateEpoch
+		case record.Key == keyFounders && len(env.Founders) == 0:
+			err = json.Unmarshal(record.Value, &r.config.Founders)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("record %s/%s: %w", r.Bucket, r.Key, err)
+			return nil, fmt.Errorf("record %s/%s: %w", record.Bucket, record.Key, err)
 		}
 	}
-	if err := k.recover(rest, stored); err != nil {
+	if err := r.restore(rest, stored); err != nil {
 		return nil, err
 	}
-	if k.seat.ID == "" {
-		if len(rest) > 0 || len(stored.Commands) > 0 || k.witness.Known.Epoch > 0 {
+	if r.self.ID == "" {
+		if len(rest) > 0 || len(stored.Commands) > 0 || r.acceptor.KnownView.Epoch > 0 {
 			return nil, fmt.Errorf("the data folder has records but no identity")
 		}
-		k.seat.ID = env.FreshID
-		k.put(keyIdentity, k.seat.ID)
+		r.self.ID = env.NewID
+		r.putRecord(keyIdentity, r.self.ID)
 		// All may lose power before a view is founded, and be told no founders when they start again.
-		k.put(keyFounders, env.Founders)
-		return k, nil
+		r.putRecord(keyFounders, env.Founders)
+		return r, nil
 	}
-	k.born = true
-	return k, nil
+	r.identitySynced = true
+	return r, nil
 }
 
 // load takes the register, also of a file that was written when a view had one backup.
-func (k *Keeper) load(value json.RawMessage) error {
+func (r *Replica) restoreAcceptor(value json.RawMessage) error {
 	var old struct {
-		Known struct{ Backup wire.Seat }
-		Value struct{ Backup wire.Seat }
+		Known struct{ Backup wire.Member }
+		Value struct{ Backup wire.Member }
 	}
 	if err := json.Unmarshal(value, &old); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(value, &k.witness); err != nil {
+	if err := json.Unmarshal(value, &r.acceptor); err != nil {
 		return err
 	}
 	if old.Known.Backup.ID != "" {
-		k.witness.Known.Backups = []wire.Seat{old.Known.Backup}
+		r.acceptor.KnownView.Backups = []wire.Member{old.Known.Backup}
 	}
 	if old.Value.Backup.ID != "" {
-		k.witness.Value.Backups = []wire.Seat{old.Value.Backup}
+		r.acceptor.Value.Backups = []wire.Member{old.Value.Backup}
 	}
 	return nil
 }
 
 // reset forgets the tail: it begins where the ledger stands.
-func (k *Keeper) reset() {
-	k.tail, k.sent = ledger.TailFrom(k.ledger.Position()), k.ledger.Position()
-	k.checkpoints = checkpoints{k.ledger.Capture()}
+func (r *Replica) resetLog() {
+	r.logTail, r.broadcastEnd = ledger.NewLogSuffix(r.store.Position()), r.store.Position()
+	r.checkpoints = checkpoints{r.store.Snapshot()}
 }
 
-func (k *Keeper) put(key string, v any) {
-	k.records = append(k.records, machine.Record{Bucket: bucketSelf, Key: key, Value: machine.MustJSON(v)})
+func (r *Replica) putRecord(key string, v any) {
+	r.unwrittenRecords = append(r.unwrittenRecords, machine.Record{Bucket: bucketReplica, Key: key, Value: machine.MustJSON(v)})
 }
 
-func (k *Keeper) ID() string             { return k.seat.ID }
-func (k *Keeper) Wakeup() time.Duration  { return k.wakeAt }
-func (k *Keeper) View() wire.View        { return k.witness.Known }
-func (k *Keeper) Serving() bool          { return k.serving }
-func (k *Keeper) Ledger() *ledger.Ledger { return k.ledger }
-func (k *Keeper) leads() bool            { return k.witness.Known.Primary.ID == k.seat.ID }
-func (k *Keeper) backs() bool            { return register.Has(k.witness.Known.Backups, k.seat.ID) }
+func (r *Replica) ID() string               { return r.self.ID }
+func (r *Replica) NextTimer() time.Duration { return r.nextTimer }
+func (r *Replica) View() wire.View          { return r.acceptor.KnownView }
+func (r *Replica) Serving() bool            { return r.serving }
+func (r *Replica) Store() *ledger.Store     { return r.store }
+func (r *Replica) isPrimary() bool          { return r.acceptor.KnownView.Primary.ID == r.self.ID }
+func (r *Replica) isBackup() bool {
+	return register.ContainsMember(r.acceptor.KnownView.Backups, r.self.ID)
+}
 
 // Flush writes and sends what commands of the same process have changed.
-func (k *Keeper) Flush(now time.Duration) machine.Output {
+func (r *Replica) Flush(now time.Duration) machine.Output {
 	var out machine.Output
-	k.flush(now, &out)
+	r.flush(now, &out)
 	return out
 }
 
 // Keepers are the addresses of the known view's seats.
-func (k *Keeper) Keepers() []string {
-	out := make([]string, 0, len(k.witness.Known.Witnesses))
-	for _, seat := range k.witness.Known.Witnesses {
+func (r *Replica) MemberAddresses() []string {
+	out := make([]string, 0, len(r.acceptor.KnownView.Voters))
+	for _, seat := range r.acceptor.KnownView.Voters {
 		out = append(out, seat.Address)
 	}
 	return out
 }
 
 // Proven says whether this keeper serves and its backups have just confirmed it.
-func (k *Keeper) Proven(now time.Duration) bool { return k.proven(now) }
+func (r *Replica) LeadershipConfirmed(now time.Duration) bool { return r.leadershipConfirmed(now) }
 
 // Time is the ledger time that a command would have now.
-func (k *Keeper) Time(now time.Duration) time.Duration { return k.leadingAt + now - k.beganAt }
+func (r *Replica) Time(now time.Duration) time.Duration { return r.termStartTime + now - r.viewSince }
 
 // Command takes a command from the same process; its answer comes by TakeOwn.
-func (k *Keeper) Command(now time.Duration, id uint64, cmd ledger.Command, out *machine.Output) {
-	k.command(now, "", wire.CommandBody{ID: id, Command: cmd}, out)
+func (r *Replica) Submit(now time.Duration, id uint64, cmd ledger.Command, out *machine.Output) {
+	r.handleCommand(now, "", wire.CommandRequest{ID: id, Command: cmd}, out)
 }
 
 // Behind says whether so much waits for the disks that no more should be begun.
-func (k *Keeper) Behind() bool { return len(k.answers) > inFlight/4 }
+func (r *Replica) Backlogged() bool { return len(r.pendingReplies) > maxPendingCommands/4 }
 
 // HasOwn says whether there are any.
-func (k *Keeper) HasOwn() bool { return len(k.own) > 0 }
+func (r *Replica) HasLocalReplies() bool { return len(r.localReplies) > 0 }
 
 // TakeOwn hands over the answers to the process's own commands.
-func (k *Keeper) TakeOwn() []wire.CommandBackBody {
-	out := k.own
-	k.own = nil
+func (r *Replica) TakeLocalReplies() []wire.CommandReply {
+	out := r.localReplies
+	r.localReplies = nil
 	return out
 }
 
 // Step is the whole keeper.
-func (k *Keeper) Step(now time.Duration, in machine.Input) machine.Output {
+func (r *Replica) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	if k.startAt == 0 {
-		k.startAt, k.beganAt = now, now
+	if r.startedAt == 0 {
+		r.startedAt, r.viewSince = now, now
 	}
-	if !in.Wall.IsZero() {
-		k.wall = in.Wall
+	if !in.WallTime.IsZero() {
+		r.wallClock = in.WallTime
 	}
-	k.snapshotDue = k.snapshotDue || in.SnapshotDue
+	r.snapshotDue = r.snapshotDue || in.SnapshotDue
 	switch {
-	case in.Wrote > 0:
-		k.wrote(now, in.Wrote, &out)
-	case in.Line.Kind != "":
-		k.line(now, in.Line, &out)
+	case in.CompletedWrite > 0:
+		r.handleWriteDone(now, in.CompletedWrite, &out)
+	case in.Message.Kind != "":
+		r.handleMessage(now, in.Message, &out)
 	case in.Stop:
-		k.stopping, k.stoppedAt = true, now
+		r.stopping, r.stopRequestedAt = true, now
 	}
-	k.wakeups(now, &out)
-	k.flush(now, &out)
-	if k.stopping && !k.serving && !k.awaitsSuccessor(now) {
+	r.runTimers(now, &out)
+	r.flush(now, &out)
+	if r.stopping && !r.serving && !r.awaitsSuccessor(now) {
 		out.Stopped = true
 	}
 	return out
 }
 
-func (k *Keeper) line(now time.Duration, line machine.Line, out *machine.Output) {
+func (r *Replica) handleMessage(now time.Duration, line machine.Message, out *machine.Output) {
 	switch line.Kind {
-	case wire.Command:
-		take(line, out, func(b wire.CommandBody) { k.command(now, line.From, b, out) })
-	case wire.Replicate:
-		take(line, out, func(b wire.ReplicateBody) { k.replicate(now, line.From, b, out) })
-	case wire.Snapshot:
-		take(line, out, func(b wire.SnapshotBody) { k.chunk(now, line.From, b, out) })
-	case wire.SnapshotAsk:
-		take(line, out, func(b wire.SnapshotAskBody) { k.asks(now, line.From, b, out) })
-	case wire.ReplicateAck:
-		take(line, out, func(b wire.ReplicateAckBody) { k.acked(now, line.From, b, out) })
-	case wire.Follow:
-		take(line, out, func(b wire.FollowBody) { k.follow(now, line.From, b, out) })
-	case wire.Prepare, wire.Accept:
-		take(line, out, func(b wire.RegisterBody) { k.vote(now, line.From, line.Kind, b, out) })
-	case wire.PrepareBack, wire.AcceptBack:
-		take(line, out, func(b wire.RegisterBody) { k.voted(now, line.Kind, b, out) })
-	case wire.Decided:
-		take(line, out, func(b wire.RegisterBody) { k.learn(now, b.Known, out) })
-	case wire.Found, wire.FoundBack:
-		take(line, out, func(b wire.FoundBody) { k.founding(now, line, b, out) })
-	case wire.Nodes:
-		take(line, out, func(b wire.Gossip) { k.nodes = b.Nodes })
+	case wire.KindCommand:
+		decodeBody(line, out, func(b wire.CommandRequest) { r.handleCommand(now, line.From, b, out) })
+	case wire.KindReplicate:
+		decodeBody(line, out, func(b wire.ReplicateRequest) { r.handleReplicate(now, line.From, b, out) })
+	case wire.KindSnapshotChunk:
+		decodeBody(line, out, func(b wire.SnapshotChunk) { r.handleChunk(now, line.From, b, out) })
+	case wire.KindSnapshotRequest:
+		decodeBody(line, out, func(b wire.SnapshotRequest) { r.handleChunkRequest(now, line.From, b, out) })
+	case wire.KindReplicateAck:
+		decodeBody(line, out, func(b wire.ReplicateAck) { r.handleAck(now, line.From, b, out) })
+	case wire.KindSubscribe:
+		decodeBody(line, out, func(b wire.SubscribeRequest) { r.handleSubscribe(now, line.From, b, out) })
+	case wire.KindPrepare, wire.KindAccept:
+		decodeBody(line, out, func(b wire.PaxosMessage) { r.handlePaxosRequest(now, line.From, line.Kind, b, out) })
+	case wire.KindPrepareReply, wire.KindAcceptReply:
+		decodeBody(line, out, func(b wire.PaxosMessage) { r.handlePaxosReply(now, line.Kind, b, out) })
+	case wire.KindDecided:
+		decodeBody(line, out, func(b wire.PaxosMessage) { r.adoptView(now, b.KnownView, out) })
+	case wire.KindBootstrapProbe, wire.KindBootstrapReply:
+		decodeBody(line, out, func(b wire.BootstrapStatus) { r.handleAnnouncement(now, line, b, out) })
+	case wire.KindNodeList:
+		decodeBody(line, out, func(b wire.Gossip) { r.nodes = b.Nodes })
 	default:
 		out.Log("line_unknown", "kind", line.Kind, "from", line.From)
 	}
 }
 
 // take decodes a line's body; a damaged one is logged and dropped.
-func take[B any](line machine.Line, out *machine.Output, do func(B)) {
+func decodeBody[B any](line machine.Message, out *machine.Output, do func(B)) {
 	var b B
 	if err := machine.Unmarshal(line.Body, &b); err != nil {
 		out.Log("line_damaged", "kind", line.Kind, "from", line.From, "why", err.Error())
@@ -374,330 +376,330 @@
 
 // proven says whether all backups have answered in this epoch a moment ago. Each
 // of them may lead the next, so the word of some is no proof.
-func (k *Keeper) proven(now time.Duration) bool {
-	for _, s := range k.witness.Known.Backups {
-		if now-k.peers[s.ID].heardAt >= suspect {
+func (r *Replica) leadershipConfirmed(now time.Duration) bool {
+	for _, s := range r.acceptor.KnownView.Backups {
+		if now-r.peers[s.ID].heardAt >= suspectTimeout {
 			return false
 		}
 	}
-	return k.serving
+	return r.serving
 }
 
 // command takes a command if its answer can be of use to the sender.
-func (k *Keeper) command(now time.Duration, from string, b wire.CommandBody, out *machine.Output) {
+func (r *Replica) handleCommand(now time.Duration, from string, b wire.CommandRequest, out *machine.Output) {
 	// A stopping leader takes no more: with a new command always under way, the next
 	// backup would never stand where the leader does, and nothing be handed over.
-	if !k.proven(now) || k.stopping {
-		if !k.await(now, from, b) {
-			k.back(from, k.notPrimary(b.ID), out)
+	if !r.leadershipConfirmed(now) || r.stopping {
+		if !r.holdCommand(now, from, b) {
+			r.reply(from, r.notPrimaryReply(b.ID), out)
 		}
 		return
 	}
-	if k.outOfTime(now, b) || b.Resent && k.awaitsCommit(from, b.ID) {
+	if r.deadlinePassed(now, b) || b.Retry && r.isPending(from, b.ID) {
 		return
 	}
-	if why, full := k.full(now, b); full {
-		k.back(from, wire.CommandBackBody{ID: b.ID, Answer: ledger.Answer{
-			Code: code.InboxFull, Why: why, RetryAfter: max(retryAfter, k.waited(now)),
+	if why, full := r.overloaded(now, b); full {
+		r.reply(from, wire.CommandReply{ID: b.ID, Result: ledger.Result{
+			Code: code.QueueFull, Reason: why, RetryAfter: max(minRetryAfter, r.oldestPendingAge(now)),
 		}}, out)
 		return
 	}
-	if ownOnly(b.Command) && from != "" {
-		out.Send(from, wire.CommandBack, wire.CommandBackBody{ID: b.ID, Answer: ledger.Answer{Code: code.Malformed, Why: "only the primary itself sends this"}})
+	if localOnly(b.Command) && from != "" {
+		out.Send(from, wire.KindCommandReply, wire.CommandReply{ID: b.ID, Result: ledger.Result{Code: code.Malformed, Reason: "only the primary itself sends this"}})
 		return
 	}
-	body := wire.CommandBackBody{ID: b.ID, Answer: k.carryOut(now, b.Command)}
-	body.At = k.ledger.Position().Sequence
-	if b.Command.Kind == ledger.KindProve {
-		k.receive(now, from, b.ID, out)
-		body.Answer.Time, body.Answer.Proven = k.Time(now), body.At
-		body.Keepers = k.Keepers()
+	body := wire.CommandReply{ID: b.ID, Result: r.execute(now, b.Command)}
+	body.AppliedIndex = r.store.Position().Index
+	if b.Command.Kind == ledger.KindConfirmLeadership {
+		r.sendReceived(now, from, b.ID, out)
+		body.Result.Time, body.Result.ConfirmedIndex = r.Time(now), body.AppliedIndex
+		body.Replicas = r.MemberAddresses()
 	}
-	k.answers = append(k.answers, pending{from, body, body.At, k.token + 1, now})
+	r.pendingReplies = append(r.pendingReplies, pendingReply{from, body, body.AppliedIndex, r.lastSendID + 1, now})
 }
 
 // ownOnly says whether only the primary's own dispatcher may send a command.
-func ownOnly(cmd ledger.Command) bool {
-	return cmd.Kind == ledger.KindTake || cmd.Kind == ledger.KindRenew || cmd.Kind == ledger.KindBeat && cmd.Beat.Reduced
+func localOnly(cmd ledger.Command) bool {
+	return cmd.Kind == ledger.KindTakeLeadership || cmd.Kind == ledger.KindRenewWorkers || cmd.Kind == ledger.KindHeartbeat && cmd.Heartbeat.Delta
 }
 
 // carryOut reads from the ledger or changes it.
-func (k *Keeper) carryOut(now time.Duration, cmd ledger.Command) ledger.Answer {
-	if ledger.Reads(cmd.Kind) {
-		return k.ledger.Read(cmd)
+func (r *Replica) execute(now time.Duration, cmd ledger.Command) ledger.Result {
+	if ledger.IsReadOnly(cmd.Kind) {
+		return r.store.Read(cmd)
 	}
-	return k.apply(now, cmd)
+	return r.apply(now, cmd)
 }
 
 // receive tells a sender at once that its question for a proof has arrived. The
 // proof itself waits for the disks. The code is one that proves nothing, for
 // senders that do not know the field.
-func (k *Keeper) receive(now time.Duration, from string, id uint64, out *machine.Output) {
+func (r *Replica) sendReceived(now time.Duration, from string, id uint64, out *machine.Output) {
 	if from == "" {
 		return
 	}
-	received := ledger.Answer{Code: code.NoAuthority, Why: "the question has arrived; its answer waits for the disks"}
-	out.Send(from, wire.CommandBack, wire.CommandBackBody{ID: id, Received: true, Answer: received})
+	received := ledger.Result{Code: code.ReplicasUnavailable, Reason: "the question has arrived; its answer waits for the disks"}
+	out.Send(from, wire.KindCommandReply, wire.CommandReply{ID: id, Received: true, Result: received})
 }
 
 // outOfTime says whether nobody waits for the command's answer any more: what it
 // spent in queues on its way is seen by the ledger's time.
-func (k *Keeper) outOfTime(now time.Duration, b wire.CommandBody) bool {
-	return b.Deadline > 0 && k.Time(now) >= b.Deadline
+func (r *Replica) deadlinePassed(now time.Duration, b wire.CommandRequest) bool {
+	return b.Deadline > 0 && r.Time(now) >= b.Deadline
 }
 
 // awaitsCommit says whether an earlier copy of a command is among those that wait
 // for their commit; its answer serves both.
-func (k *Keeper) awaitsCommit(from string, id uint64) bool {
-	return slices.ContainsFunc(k.answers, func(a pending) bool { return a.to == from && a.body.ID == id })
+func (r *Replica) isPending(from string, id uint64) bool {
+	return slices.ContainsFunc(r.pendingReplies, func(a pendingReply) bool { return a.to == from && a.body.ID == id })
 }
 
 // full says why a command is not admitted: too much waits for its commit, or it has
 // waited for longer than the command has time.
-func (k *Keeper) full(now time.Duration, b wire.CommandBody) (why string, full bool) {
-	if len(k.answers) > inFlight {
+func (r *Replica) overloaded(now time.Duration, b wire.CommandRequest) (why string, full bool) {
+	if len(r.pendingReplies) > maxPendingCommands {
 		return "too many writes are under way", true
 	}
-	left := b.Left
+	left := b.Timeout
 	if b.Deadline > 0 {
-		left = min(left, b.Deadline-k.Time(now))
+		left = min(left, b.Deadline-r.Time(now))
 	}
-	return "what is under way takes longer than this request has time", b.Left > 0 && k.waited(now) >= left
+	return "what is under way takes longer than this request has time", b.Timeout > 0 && r.oldestPendingAge(now) >= left
 }
 
 // waited is how long the oldest command has waited for its commit. As commits are
 // in order, a new one is not expected to take less.
-func (k *Keeper) waited(now time.Duration) time.Duration {
-	if len(k.answers) == 0 {
+func (r *Replica) oldestPendingAge(now time.Duration) time.Duration {
+	if len(r.pendingReplies) == 0 {
 		return 0
 	}
-	return now - k.answers[0].takenAt
+	return now - r.pendingReplies[0].receivedAt
 }
 
-func (k *Keeper) apply(now time.Duration, cmd ledger.Command) ledger.Answer {
-	cmd.Position = ledger.Position{Epoch: k.witness.Known.Epoch, Sequence: k.ledger.Position().Sequence + 1}
-	cmd.At = k.Time(now)
-	if cmd.Kind == ledger.KindAccept && cmd.Accept.Repeat.Count > 0 {
-		cmd.Wall = k.wall
+func (r *Replica) apply(now time.Duration, cmd ledger.Command) ledger.Result {
+	cmd.LogPosition = ledger.LogPosition{Epoch: r.acceptor.KnownView.Epoch, Index: r.store.Position().Index + 1}
+	cmd.Time = r.Time(now)
+	if cmd.Kind == ledger.KindAcceptJob && cmd.Job.Repeat.Count > 0 {
+		cmd.WallTime = r.wallClock
 	}
-	return k.applyLogged(ledger.Encode(cmd))
+	return r.applyEncoded(ledger.Encode(cmd))
 }
 
 // applyLogged applies a command, keeps it for the replicas and has it logged.
-func (k *Keeper) applyLogged(cmd ledger.Logged) ledger.Answer {
-	k.tail.Add(cmd)
-	k.commands = append(k.commands, cmd.Encoded)
-	answer := k.ledger.Apply(cmd.Command)
-	k.checkpoints.add(k.ledger)
+func (r *Replica) applyEncoded(cmd ledger.EncodedCommand) ledger.Result {
+	r.logTail.Append(cmd)
+	r.unwrittenCommands = append(r.unwrittenCommands, cmd.Encoded)
+	answer := r.store.Apply(cmd.Command)
+	r.checkpoints.add(r.store)
 	return answer
 }
 
-func (k *Keeper) notPrimary(id uint64) wire.CommandBackBody {
-	b := wire.CommandBackBody{ID: id, Answer: ledger.Answer{Code: code.NotPrimary, Why: "this keeper does not lead now"}, Keepers: k.Keepers()}
-	if !k.leads() {
-		b.Primary = k.witness.Known.Primary.Address
+func (r *Replica) notPrimaryReply(id uint64) wire.CommandReply {
+	b := wire.CommandReply{ID: id, Result: ledger.Result{Code: code.NotPrimary, Reason: "this keeper does not lead now"}, Replicas: r.MemberAddresses()}
+	if !r.isPrimary() {
+		b.Primary = r.acceptor.KnownView.Primary.Address
 	}
 	return b
 }
 
 // flush writes what changed since the last batch and, as leader, sends the new
 // commands along at the same moment.
-func (k *Keeper) flush(now time.Duration, out *machine.Output) {
-	if k.serving && !k.stopping {
+func (r *Replica) flush(now time.Duration, out *machine.Output) {
+	if r.serving && !r.stopping {
 		// What comes within a moment goes out as one line to each copy, and one batch.
-		if now < k.flushedAt+gather {
-			k.wakeAt = min(k.wakeAt, k.flushedAt+gather)
-			k.settle(out)
+		if now < r.flushedAt+batchInterval {
+			r.nextTimer = min(r.nextTimer, r.flushedAt+batchInterval)
+			r.releaseReplies(out)
 			return
 		}
-		k.flushedAt = now
+		r.flushedAt = now
 	}
-	if k.serving {
-		k.replicateNew(now, out)
+	if r.serving {
+		r.broadcastNew(now, out)
 	}
-	if len(k.writing) > 0 {
+	if len(r.inFlightWrites) > 0 {
 		return
 	}
-	if !k.env.Dispatches {
-		k.ledger.TakeChanges()
+	if !r.config.HasDispatcher {
+		r.store.TakeChanges()
 	}
-	if k.entries = append(k.entries, k.ledger.TakeEntries()...); !k.serving && len(k.entries) > 2*entryMax {
-		k.entries = slices.Clone(k.entries[len(k.entries)-entryMax:])
+	if r.auditEntries = append(r.auditEntries, r.store.TakeAuditEntries()...); !r.serving && len(r.auditEntries) > 2*maxAuditEntries {
+		r.auditEntries = slices.Clone(r.auditEntries[len(r.auditEntries)-maxAuditEntries:])
 	}
-	if len(k.records) == 0 && len(k.commands) == 0 && k.drop == 0 && !k.replaced {
-		out.Sends = append(out.Sends, k.sends...)
-		k.sends = nil
-		k.settle(out)
+	if len(r.unwrittenRecords) == 0 && len(r.unwrittenCommands) == 0 && r.logTruncation == 0 && !r.replaceLog {
+		out.Messages = append(out.Messages, r.sendsAfterSync...)
+		r.sendsAfterSync = nil
+		r.releaseReplies(out)
 		return
 	}
-	k.write(now, out)
+	r.issueWrite(now, out)
 }
 
 // write issues the next batch, with a snapshot if one is due.
-func (k *Keeper) write(now time.Duration, out *machine.Output) {
-	k.nextWrite++
-	w := machine.Write{Done: k.nextWrite, Records: k.records, Drop: k.drop, Commands: k.commands}
-	if k.snapshotDue || k.replaced {
-		capture := k.ledger.Capture()
-		w.Snapshot, w.Replace = capture.Records(), k.replaced
-		k.snapshotAt = capture.Position()
-	}
-	k.writing[k.nextWrite] = after{k.sends, k.ledger.Position().Sequence, k.stands}
-	k.records, k.drop, k.commands, k.sends, k.wroteAt = nil, 0, nil, nil, now
-	k.snapshotDue, k.replaced = false, false
+func (r *Replica) issueWrite(now time.Duration, out *machine.Output) {
+	r.lastWriteID++
+	w := machine.Write{ID: r.lastWriteID, Records: r.unwrittenRecords, TruncateCount: r.logTruncation, Commands: r.unwrittenCommands}
+	if r.snapshotDue || r.replaceLog {
+		capture := r.store.Snapshot()
+		w.Snapshot, w.ReplaceLog = capture.Records(), r.replaceLog
+		r.snapshotPosition = capture.Position()
+	}
+	r.inFlightWrites[r.lastWriteID] = inFlightWrite{r.sendsAfterSync, r.store.Position().Index, r.candidateEpoch}
+	r.unwrittenRecords, r.logTruncation, r.unwrittenCommands, r.sendsAfterSync, r.writeStartedAt = nil, 0, nil, nil, now
+	r.snapshotDue, r.replaceLog = false, false
 	out.Writes = append(out.Writes, w)
 }
 
-func (k *Keeper) wrote(now time.Duration, done uint64, out *machine.Output) {
-	w, ok := k.writing[done]
+func (r *Replica) handleWriteDone(now time.Duration, done uint64, out *machine.Output) {
+	w, ok := r.inFlightWrites[done]
 	if !ok {
 		return
 	}
-	delete(k.writing, done)
-	k.born = true
-	if took := now - k.wroteAt; took > 500*time.Millisecond {
+	delete(r.inFlightWrites, done)
+	r.identitySynced = true
+	if took := now - r.writeStartedAt; took > 500*time.Millisecond {
 		out.Log("disk_slow", "tookMs", took.Milliseconds())
 	}
-	k.synced, k.stood = w.sequence, w.stands
-	out.Sends = append(out.Sends, w.sends...)
-	if k.founded.Epoch > 0 && done >= k.foundedBy {
-		k.learn(now, k.founded, out)
+	r.syncedIndex, r.syncedCandidateEpoch = w.index, w.candidateEpoch
+	out.Messages = append(out.Messages, w.sends...)
+	if r.bootstrapView.Epoch > 0 && done >= r.bootstrapWrite {
+		r.adoptView(now, r.bootstrapView, out)
 	}
-	k.settle(out)
+	r.releaseReplies(out)
 }
 
 // shared is up to where all have synced that must, and the newest line that all
 // backups have acked. Whoever was named as a backup of the next view must have it
 // too: that view may be decided at any moment.
-func (k *Keeper) shared() (sequence, token uint64) {
-	sequence, token = k.synced, math.MaxUint64
-	for _, s := range register.Union(k.witness.Known.Backups, k.named) {
-		p := k.peers[s.ID]
-		if !p.synced || p.stands {
+func (r *Replica) replicatedUpTo() (sequence, token uint64) {
+	sequence, token = r.syncedIndex, math.MaxUint64
+	for _, s := range register.UnionMembers(r.acceptor.KnownView.Backups, r.proposedBackups) {
+		p := r.peers[s.ID]
+		if !p.replicating || p.candidate {
 			sequence = 0
 		}
-		sequence = min(sequence, p.at.Sequence)
+		sequence = min(sequence, p.match.Index)
 	}
-	for _, s := range k.witness.Known.Backups {
-		token = min(token, k.peers[s.ID].token)
+	for _, s := range r.acceptor.KnownView.Backups {
+		token = min(token, r.peers[s.ID].ackedSendID)
 	}
 	return sequence, token
 }
 
 // settle sends what waited for the disks: a backup's acks, and the leader's
 // answers once all have everything that the answer rests on.
-func (k *Keeper) settle(out *machine.Output) {
-	var keep []ack
-	for _, a := range k.acks {
-		if k.born && a.sequence <= k.synced {
-			out.Send(a.to, wire.ReplicateAck, a.body)
+func (r *Replica) releaseReplies(out *machine.Output) {
+	var keep []pendingAck
+	for _, a := range r.pendingAcks {
+		if r.identitySynced && a.index <= r.syncedIndex {
+			out.Send(a.to, wire.KindReplicateAck, a.body)
 		} else {
 			keep = append(keep, a)
 		}
 	}
-	k.acks = keep
-	if !k.serving {
+	r.pendingAcks = keep
+	if !r.serving {
 		return
 	}
-	sequence, token := k.shared()
-	k.committed = max(k.committed, sequence)
+	sequence, token := r.replicatedUpTo()
+	r.commitIndex = max(r.commitIndex, sequence)
 	n := 0
-	for ; n < len(k.answers); n++ {
-		a := k.answers[n]
-		if a.sequence > k.committed || a.token > token {
+	for ; n < len(r.pendingReplies); n++ {
+		a := r.pendingReplies[n]
+		if a.index > r.commitIndex || a.sendID > token {
 			break
 		}
-		k.back(a.to, a.body, out)
+		r.reply(a.to, a.body, out)
 	}
-	clear(k.answers[:n])
-	k.answers = k.answers[n:]
+	clear(r.pendingReplies[:n])
+	r.pendingReplies = r.pendingReplies[n:]
 	done := 0
-	for ; done < len(k.entries) && k.entries[done].Sequence <= k.committed; done++ {
-		out.Audits = append(out.Audits, machine.Audit{Sequence: k.entries[done].Sequence, Entry: machine.MustJSON(k.entries[done])})
+	for ; done < len(r.auditEntries) && r.auditEntries[done].Index <= r.commitIndex; done++ {
+		out.AuditEntries = append(out.AuditEntries, machine.AuditEntry{Index: r.auditEntries[done].Index, Data: machine.MustJSON(r.auditEntries[done])})
 	}
-	clear(k.entries[:done])
-	k.entries = k.entries[done:]
-	k.tell(out)
+	clear(r.auditEntries[:done])
+	r.auditEntries = r.auditEntries[done:]
+	r.publish(out)
 }
 
 // back sends a command's answer, or keeps it for the process's own dispatcher.
-func (k *Keeper) back(to string, body wire.CommandBackBody, out *machine.Output) {
+func (r *Replica) reply(to string, body wire.CommandReply, out *machine.Output) {
 	if to == "" {
-		k.own = append(k.own, body)
+		r.localReplies = append(r.localReplies, body)
 		return
 	}
-	out.Send(to, wire.CommandBack, body)
+	out.Send(to, wire.KindCommandReply, body)
 }
 
 // tell pushes committed commands to the followers.
-func (k *Keeper) tell(out *machine.Output) {
-	if k.committed <= k.told {
+func (r *Replica) publish(out *machine.Output) {
+	if r.commitIndex <= r.publishedIndex {
 		return
 	}
-	k.told = k.committed
-	addresses := make([]string, 0, len(k.followers))
-	for address := range k.followers {
+	r.publishedIndex = r.commitIndex
+	addresses := make([]string, 0, len(r.subscribers))
+	for address := range r.subscribers {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
 	for _, address := range addresses {
-		k.news(address, k.followers[address], out)
+		r.publishTo(address, r.subscribers[address], out)
 	}
 }
 
 // news tells one follower what it has not heard. Where the tail does not reach
 // back to it, that is a whole copy, which waits until all in it is committed;
 // until then nothing is said, since an empty word would pass for up to date.
-func (k *Keeper) news(address string, f follower, out *machine.Output) {
-	body := wire.NewsBody{Epoch: k.witness.Known.Epoch, After: f.at, At: f.at}
-	commands, ok := k.tail.Since(f.at)
+func (r *Replica) publishTo(address string, f subscriber, out *machine.Output) {
+	body := wire.FeedUpdate{Epoch: r.acceptor.KnownView.Epoch, Previous: f.position, Position: f.position}
+	commands, ok := r.logTail.CommandsAfter(f.position)
 	if ok {
-		body.Commands, body.At = k.committedOf(f.at, commands)
+		body.Commands, body.Position = r.committedPrefix(f.position, commands)
 	} else {
-		whole, waits := k.copies[address]
+		whole, waits := r.pendingSnapshots[address]
 		if !waits {
-			whole = wire.NewsBody{Epoch: body.Epoch, After: f.at, At: k.ledger.Position(), Records: k.ledger.Records()}
+			whole = wire.FeedUpdate{Epoch: body.Epoch, Previous: f.position, Position: r.store.Position(), Records: r.store.Records()}
 		}
-		if whole.At.Sequence > k.committed {
-			k.copies[address], k.followers[address] = whole, f
+		if whole.Position.Index > r.commitIndex {
+			r.pendingSnapshots[address], r.subscribers[address] = whole, f
 			return
 		}
-		delete(k.copies, address)
+		delete(r.pendingSnapshots, address)
 		body = whole
 	}
-	k.followers[address] = follower{body.At, f.until}
-	out.Send(address, wire.News, body)
+	r.subscribers[address] = subscriber{body.Position, f.expiresAt}
+	out.Send(address, wire.KindFeedUpdate, body)
 }
 
 // committedOf gives those of the commands after a position that are committed, and
 // where they end.
-func (k *Keeper) committedOf(at ledger.Position, commands []json.RawMessage) ([]json.RawMessage, ledger.Position) {
-	count := min(len(commands), int(k.committed-min(k.committed, at.Sequence)))
+func (r *Replica) committedPrefix(at ledger.LogPosition, commands []json.RawMessage) ([]json.RawMessage, ledger.LogPosition) {
+	count := min(len(commands), int(r.commitIndex-min(r.commitIndex, at.Index)))
 	if count == 0 {
 		return nil, at
 	}
-	end, _ := k.tail.At(at.Sequence + uint64(count))
+	end, _ := r.logTail.PositionOf(at.Index + uint64(count))
 	return commands[:count:count], end
 }
 
-func (k *Keeper) follow(now time.Duration, from string, b wire.FollowBody, out *machine.Output) {
-	if !k.proven(now) {
-		body := wire.NewsBody{Bounced: true, At: b.At, After: b.At}
-		if !k.leads() {
-			body.Primary = k.witness.Known.Primary.Address
+func (r *Replica) handleSubscribe(now time.Duration, from string, b wire.SubscribeRequest, out *machine.Output) {
+	if !r.leadershipConfirmed(now) {
+		body := wire.FeedUpdate{Rejected: true, Position: b.Position, Previous: b.Position}
+		if !r.isPrimary() {
+			body.Primary = r.acceptor.KnownView.Primary.Address
 		}
-		out.Send(from, wire.News, body)
+		out.Send(from, wire.KindFeedUpdate, body)
 		return
 	}
-	if f, ok := k.followers[from]; ok && f.at == b.At {
-		k.followers[from] = follower{f.at, now + followFor}
-		if b.At.Sequence >= k.committed {
-			out.Send(from, wire.News, wire.NewsBody{Epoch: k.witness.Known.Epoch, At: b.At, After: b.At})
+	if f, ok := r.subscribers[from]; ok && f.position == b.Position {
+		r.subscribers[from] = subscriber{f.position, now + subscriptionTTL}
+		if b.Position.Index >= r.commitIndex {
+			out.Send(from, wire.KindFeedUpdate, wire.FeedUpdate{Epoch: r.acceptor.KnownView.Epoch, Position: b.Position, Previous: b.Position})
 			return
 		}
 	}
-	k.news(from, follower{b.At, now + followFor}, out)
+	r.publishTo(from, subscriber{b.Position, now + subscriptionTTL}, out)
 }
 
 // Batches counts the writes issued so far.
-func (k *Keeper) Batches() uint64 { return k.nextWrite }
+func (r *Replica) WritesIssued() uint64 { return r.lastWriteID }
--- a/core/keeper/members_test.go
+++ b/core/keeper/members_test.go
@@ -6,9 +6,9 @@
 )
 
 // memberOf is what a keeper reports of the member at an address.
-func memberOf(t *testing.T, c *trio, reporter *host, address string) MemberStatus {
+func memberOf(t *testing.T, c *cluster, reporter *node, address string) MemberStatus {
 	t.Helper()
-	for _, m := range reporter.k.Report(c.now - reporter.boot + time.Microsecond).Members {
+	for _, m := range reporter.replica.Report(c.now - reporter.startedAt + time.Microsecond).Members {
 		if m.Address == address {
 			return m
 		}
@@ -19,27 +19,27 @@
 
 // TestTheLeaderReportsWhoLags cuts the witness off and compares what the leader and
 // the backup report of each member.
-func TestTheLeaderReportsWhoLags(t *testing.T) {
+func TestLeaderReportsLag(t *testing.T) {
 	const away = 500 * time.Millisecond
-	c := newTrio(t)
+	c := newCluster(t)
 	leader := c.primary()
-	view := leader.k.View()
-	backup := c.host(view.Backups[0].Address)
-	var witness *host
-	for _, h := range c.hosts {
+	view := leader.replica.View()
+	backup := c.node(view.Backups[0].Address)
+	var witness *node
+	for _, h := range c.nodes {
 		if h != leader && h != backup {
 			witness = h
 		}
 	}
-	for address, role := range map[string]Role{leader.address: Leader, backup.address: Backup, witness.address: Witness} {
+	for address, role := range map[string]Role{leader.address: Leader, backup.address: Backup, witness.address: Voter} {
 		if m := memberOf(t, c, leader, address); m.Role != role || m.HeardMsAgo < 0 || m.HeardMsAgo >= away.Milliseconds() {
 			t.Errorf("of %s: %+v, want the role %s, heard lately", address, m, role)
 		}
 	}
-	witness.cut = true
-	before := leader.k.Status().At.Sequence
-	c.pass(away)
-	behind := int64(leader.k.Status().At.Sequence - before)
+	witness.isolated = true
+	before := leader.replica.Status().Position.Index
+	c.advance(away)
+	behind := int64(leader.replica.Status().Position.Index - before)
 	m := memberOf(t, c, leader, witness.address)
 	if behind == 0 || m.Lag < behind || m.Lag > behind+1 || m.HeardMsAgo < away.Milliseconds() {
 		t.Errorf("the witness missed %d commands in %s: %+v", behind, away, m)
@@ -53,22 +53,22 @@
 	if m := memberOf(t, c, backup, leader.address); m.Role != Leader || m.HeardMsAgo < 0 {
 		t.Errorf("a backup hears the leader: %+v", m)
 	}
-	backup.cut = true
-	c.pass(2 * suspect)
-	if report := leader.k.Report(c.now - leader.boot + time.Microsecond); report.Proven || !report.Serving {
-		t.Errorf("a leader that reaches no other member: serving=%v proven=%v", report.Serving, report.Proven)
+	backup.isolated = true
+	c.advance(2 * suspectTimeout)
+	if report := leader.replica.Report(c.now - leader.startedAt + time.Microsecond); report.LeadershipConfirmed || !report.Serving {
+		t.Errorf("a leader that reaches no other member: serving=%v proven=%v", report.Serving, report.LeadershipConfirmed)
 	}
 	// Whoever leads once all can be reached again, it is proven and nobody lags.
-	witness.cut, backup.cut = false, false
-	c.pass(2 * time.Second)
+	witness.isolated, backup.isolated = false, false
+	c.advance(2 * time.Second)
 	leader = c.primary()
 	if leader == nil {
-		t.Fatalf("nobody leads though all members are reached:\n%s", c.tell(20))
+		t.Fatalf("nobody leads though all members are reached:\n%s", c.recentLog(20))
 	}
-	if report := leader.k.Report(c.now - leader.boot + time.Microsecond); !report.Proven {
+	if report := leader.replica.Report(c.now - leader.startedAt + time.Microsecond); !report.LeadershipConfirmed {
 		t.Errorf("a leader that reaches all members is not proven: %+v", report)
 	}
-	for _, h := range c.hosts {
+	for _, h := range c.nodes {
 		if m := memberOf(t, c, leader, h.address); m.Lag < 0 || m.Lag > 1 || m.HeardMsAgo >= away.Milliseconds() {
 			t.Errorf("%s caught up: %+v", h.address, m)
 		}
--- a/core/keeper/recording_test.go
+++ b/core/keeper/recording_test.go
@@ -14,6 +14,6 @@
 // TestTheKeysAreNamedAsRecorded holds the keys of a keeper's own records to their names by
 // commit 40d3d2c, since it must find them again on its disk.
 func TestTheKeysAreNamedAsRecorded(t *testing.T) {
-	names := map[string][]string{bucketSelf: {keyIdentity, keyRegister, keyStands, keyFounders}}
+	names := map[string][]string{bucketReplica: {keyIdentity, keyAcceptor, keyCandidateEpoch, keyFounders}}
 	goldentest.File(t, "testdata/40d3d2c/keys.json", goldentest.Indented(t, names))
 }
--- a/core/keeper/recover.go
+++ b/core/keeper/recover.go
@@ -11,33 +11,33 @@
 
 // recover rebuilds ledger and tail: the snapshot's records, then the commands that
 // were logged after it. The history before the snapshot only lengthens the tail.
-func (k *Keeper) recover(records []machine.Record, stored machine.Stored) error {
-	l, err := ledger.Load(records)
+func (r *Replica) restore(records []machine.Record, stored machine.StoredState) error {
+	store, err := ledger.Load(records)
 	if err != nil {
 		return err
 	}
-	k.ledger = l
-	k.reset()
-	k.snapshotAt = l.Position()
-	k.recoverHistory(stored.History)
+	r.store = store
+	r.resetLog()
+	r.snapshotPosition = store.Position()
+	r.restoreHistory(stored.CommandsBeforeSnapshot)
 	for _, encoded := range stored.Commands {
-		cmd, err := nextOf(k.ledger.Position(), encoded)
+		cmd, err := decodeNext(r.store.Position(), encoded)
 		if err != nil {
 			return err
 		}
-		k.tail.Add(cmd)
-		k.ledger.Apply(cmd.Command)
-		k.checkpoints.add(k.ledger)
+		r.logTail.Append(cmd)
+		r.store.Apply(cmd.Command)
+		r.checkpoints.add(r.store)
 	}
 	// Whoever led then has audited them.
-	k.ledger.TakeEntries()
-	k.sent, k.synced = k.ledger.Position(), k.ledger.Position().Sequence
+	r.store.TakeAuditEntries()
+	r.broadcastEnd, r.syncedIndex = r.store.Position(), r.store.Position().Index
 	return nil
 }
 
 // recoverHistory begins the tail with the commands that lead up to the snapshot. Those
 // of another history, or damaged ones, are left out: nothing rests on them.
-func (k *Keeper) recoverHistory(history []json.RawMessage) {
+func (r *Replica) restoreHistory(history []json.RawMessage) {
 	if len(history) == 0 {
 		return
 	}
@@ -45,30 +45,30 @@
 	if err != nil {
 		return
 	}
-	at := first.Position
-	tail := ledger.TailFrom(at)
+	at := first.LogPosition
+	tail := ledger.NewLogSuffix(at)
 	for _, encoded := range history[1:] {
-		cmd, err := nextOf(at, encoded)
+		cmd, err := decodeNext(at, encoded)
 		if err != nil {
 			return
 		}
-		tail.Add(cmd)
-		at = cmd.Position
+		tail.Append(cmd)
+		at = cmd.LogPosition
 	}
-	if at == k.ledger.Position() {
-		k.tail = tail
+	if at == r.store.Position() {
+		r.logTail = tail
 	}
 }
 
 // nextOf decodes a logged command, which must come right after a position.
-func nextOf(at ledger.Position, encoded json.RawMessage) (ledger.Logged, error) {
+func decodeNext(at ledger.LogPosition, encoded json.RawMessage) (ledger.EncodedCommand, error) {
 	cmd, err := ledger.Decode(encoded)
 	if err != nil {
-		return cmd, fmt.Errorf("logged command after sequence %d: %w", at.Sequence, err)
+		return cmd, fmt.Errorf("logged command after sequence %d: %w", at.Index, err)
 	}
-	if cmd.Sequence != at.Sequence+1 || cmd.Epoch < at.Epoch {
+	if cmd.Index != at.Index+1 || cmd.Epoch < at.Epoch {
 		return cmd, fmt.Errorf("logged command %d of epoch %d comes after %d of epoch %d",
-			cmd.Sequence, cmd.Epoch, at.Sequence, at.Epoch)
+			cmd.Index, cmd.Epoch, at.Index, at.Epoch)
 	}
 	return cmd, nil
 }
--- a/core/keeper/replicate.go
+++ b/core/keeper/replicate.go
@@ -15,217 +15,217 @@
 
 // A peer is sent no more than this beyond what it has acked.
 const (
-	windowEntries = 512
-	windowBytes   = 256 << 10
+	maxWindowCommands = 512
+	maxWindowBytes    = 256 << 10
 )
 
 // replicateNew sends the new commands to all peers that keep up, as one body, and a
 // heartbeat to the others.
-func (k *Keeper) replicateNew(now time.Duration, out *machine.Output) {
-	if !k.hears(now) {
+func (r *Replica) broadcastNew(now time.Duration, out *machine.Output) {
+	if !r.hearsMajority(now) {
 		return
 	}
-	position := k.ledger.Position()
-	waits := len(k.answers) > 0 && k.answers[len(k.answers)-1].token > k.token
-	if position == k.sent && !waits && now-k.beatAt < heartbeat {
+	position := r.store.Position()
+	waits := len(r.pendingReplies) > 0 && r.pendingReplies[len(r.pendingReplies)-1].sendID > r.lastSendID
+	if position == r.broadcastEnd && !waits && now-r.broadcastAt < heartbeatInterval {
 		return
 	}
-	commands, _ := k.tail.Since(k.sent)
-	k.token++
-	k.beatAt = now
+	commands, _ := r.logTail.CommandsAfter(r.broadcastEnd)
+	r.lastSendID++
+	r.broadcastAt = now
 	var receivers []string
-	for _, seat := range k.witness.Known.Witnesses {
-		if seat.ID == k.seat.ID {
+	for _, seat := range r.acceptor.KnownView.Voters {
+		if seat.ID == r.self.ID {
 			continue
 		}
-		p := k.peers[seat.ID]
-		if p.next == k.sent && k.tail.Within(p.confirmed, p.next, windowEntries, windowBytes) {
+		p := r.peers[seat.ID]
+		if p.sentUpTo == r.broadcastEnd && r.logTail.Within(p.windowStart, p.sentUpTo, maxWindowCommands, maxWindowBytes) {
 			receivers = append(receivers, seat.Address)
-			p.next = position
-			k.peers[seat.ID] = p
-		} else if now-p.lineAt >= heartbeat || waits && register.Has(k.witness.Known.Backups, seat.ID) {
-			k.beat(now, seat, out)
+			p.sentUpTo = position
+			r.peers[seat.ID] = p
+		} else if now-p.probedAt >= heartbeatInterval || waits && register.ContainsMember(r.acceptor.KnownView.Backups, seat.ID) {
+			r.sendProbe(now, seat, out)
 		}
 	}
-	out.Broadcast(receivers, wire.Replicate, k.replicateBody(k.sent, commands))
-	k.sent = position
+	out.Broadcast(receivers, wire.KindReplicate, r.replicateBody(r.broadcastEnd, commands))
+	r.broadcastEnd = position
 }
 
-func (k *Keeper) replicateBody(after ledger.Position, commands []json.RawMessage) wire.ReplicateBody {
-	return wire.ReplicateBody{
-		Boot: k.env.Boot, View: k.witness.Known, From: k.seat, Token: k.token, After: after, Commands: commands,
+func (r *Replica) replicateBody(after ledger.LogPosition, commands []json.RawMessage) wire.ReplicateRequest {
+	return wire.ReplicateRequest{
+		BootID: r.config.BootID, View: r.acceptor.KnownView, From: r.self, SendID: r.lastSendID, Previous: after, Commands: commands,
 	}
 }
 
 // beat sends a line without commands: whether the peer is where the lines to it end.
-func (k *Keeper) beat(now time.Duration, to wire.Seat, out *machine.Output) {
-	p := k.peers[to.ID]
-	p.lineAt = now
-	k.peers[to.ID] = p
-	after := p.next
-	if after == (ledger.Position{}) {
-		after = k.limit()
-	}
-	out.Send(to.Address, wire.Replicate, k.replicateBody(after, nil))
+func (r *Replica) sendProbe(now time.Duration, to wire.Member, out *machine.Output) {
+	p := r.peers[to.ID]
+	p.probedAt = now
+	r.peers[to.ID] = p
+	after := p.sentUpTo
+	if after == (ledger.LogPosition{}) {
+		after = r.catchUpLimit()
+	}
+	out.Send(to.Address, wire.KindReplicate, r.replicateBody(after, nil))
 }
 
 // limit is how far peers may be brought one by one: what comes after it goes to all
 // in a moment.
-func (k *Keeper) limit() ledger.Position {
-	if k.serving {
-		return k.sent
+func (r *Replica) catchUpLimit() ledger.LogPosition {
+	if r.serving {
+		return r.broadcastEnd
 	}
-	return k.ledger.Position()
+	return r.store.Position()
 }
 
 // sync asks a peer how far it is; its acks bring on what it lacks.
-func (k *Keeper) sync(now time.Duration, to wire.Seat, out *machine.Output) {
-	if to.ID == "" || now-k.peers[to.ID].lineAt < heartbeat {
+func (r *Replica) probe(now time.Duration, to wire.Member, out *machine.Output) {
+	if to.ID == "" || now-r.peers[to.ID].probedAt < heartbeatInterval {
 		return
 	}
-	k.token++
-	k.beat(now, to, out)
+	r.lastSendID++
+	r.sendProbe(now, to, out)
 }
 
 // acked hears how far a peer has come.
-func (k *Keeper) acked(now time.Duration, from string, b wire.ReplicateAckBody, out *machine.Output) {
-	k.learn(now, b.Known, out)
-	if b.Boot != k.env.Boot || b.Epoch != k.witness.Known.Epoch || !k.leads() && !k.backs() {
+func (r *Replica) handleAck(now time.Duration, from string, b wire.ReplicateAck, out *machine.Output) {
+	r.adoptView(now, b.KnownView, out)
+	if b.BootID != r.config.BootID || b.Epoch != r.acceptor.KnownView.Epoch || !r.isPrimary() && !r.isBackup() {
 		return
 	}
-	p := k.peers[b.From.ID]
+	p := r.peers[b.From.ID]
 	p.heardAt = now
-	k.peers[b.From.ID] = p
-	if b.Good {
-		k.confirmed(now, b, out)
+	r.peers[b.From.ID] = p
+	if b.OK {
+		r.handleAccepted(now, b, out)
 	} else {
-		k.refused(now, from, b, out)
+		r.handleRejected(now, from, b, out)
 	}
 }
 
 // confirmed takes the word of a peer that has synced all up to a position, and goes on
 // from there if all that was sent to it has come.
-func (k *Keeper) confirmed(now time.Duration, b wire.ReplicateAckBody, out *machine.Output) {
-	p := k.peers[b.From.ID]
-	p.stands, p.leaves = p.stands || b.Stands, b.Leaves
-	if !b.Stands {
-		p.token = max(p.token, b.Token)
+func (r *Replica) handleAccepted(now time.Duration, b wire.ReplicateAck, out *machine.Output) {
+	p := r.peers[b.From.ID]
+	p.candidate, p.stopping = p.candidate || b.Candidate, b.Leaving
+	if !b.Candidate {
+		p.ackedSendID = max(p.ackedSendID, b.SendID)
 	}
-	if !p.synced || b.At.Sequence >= p.at.Sequence {
-		p.at = b.At
+	if !p.replicating || b.Position.Index >= p.match.Index {
+		p.match = b.Position
 	}
-	p.synced, p.confirmed = true, p.at
-	if p.next.Sequence < p.at.Sequence {
-		p.next = p.at
+	p.replicating, p.windowStart = true, p.match
+	if p.sentUpTo.Index < p.match.Index {
+		p.sentUpTo = p.match
 	}
-	if p.at.Sequence >= p.transfer.at.Sequence {
-		p.transfer = outgoing{}
+	if p.match.Index >= p.transfer.position.Index {
+		p.transfer = outgoingTransfer{}
 	}
-	k.peers[b.From.ID] = p
-	if p.next != p.at || p.next == k.limit() || p.transfer.active(now) {
+	r.peers[b.From.ID] = p
+	if p.sentUpTo != p.match || p.sentUpTo == r.catchUpLimit() || p.transfer.active(now) {
 		return
 	}
-	if k.tail.Holds(p.next) {
-		k.feed(now, b.From, out)
+	if r.logTail.Contains(p.sentUpTo) {
+		r.sendWindow(now, b.From, out)
 	} else {
-		k.beginTransfer(now, b.From, p.at, out)
+		r.startTransfer(now, b.From, p.match, out)
 	}
 }
 
 // feed sends a peer the next window.
-func (k *Keeper) feed(now time.Duration, to wire.Seat, out *machine.Output) {
-	p := k.peers[to.ID]
-	commands, end, ok := k.tail.Window(p.next, k.limit(), windowEntries, windowBytes)
+func (r *Replica) sendWindow(now time.Duration, to wire.Member, out *machine.Output) {
+	p := r.peers[to.ID]
+	commands, end, ok := r.logTail.Window(p.sentUpTo, r.catchUpLimit(), maxWindowCommands, maxWindowBytes)
 	if !ok {
 		return
 	}
-	k.token++
-	out.Send(to.Address, wire.Replicate, k.replicateBody(p.next, commands))
-	p.next, p.lineAt = end, now
-	k.peers[to.ID] = p
+	r.lastSendID++
+	out.Send(to.Address, wire.KindReplicate, r.replicateBody(p.sentUpTo, commands))
+	p.sentUpTo, p.probedAt = end, now
+	r.peers[to.ID] = p
 }
 
 // refused brings on a peer that is not where a line to it began.
-func (k *Keeper) refused(now time.Duration, from string, b wire.ReplicateAckBody, out *machine.Output) {
-	p := k.peers[b.From.ID]
-	if p.synced && b.Token <= p.token {
+func (r *Replica) handleRejected(now time.Duration, from string, b wire.ReplicateAck, out *machine.Output) {
+	p := r.peers[b.From.ID]
+	if p.replicating && b.SendID <= p.ackedSendID {
 		return
 	}
-	p.synced = false
-	k.peers[b.From.ID] = p
-	before := b.Token < p.resentToken && now-p.resentAt < catchUp
+	p.replicating = false
+	r.peers[b.From.ID] = p
+	before := b.SendID < p.resentSendID && now-p.resentAt < resendTimeout
 	if before || p.transfer.active(now) {
 		// It answers what was sent before the line, or the snapshot, that is on its way.
 		return
 	}
-	seat := wire.Seat{ID: b.From.ID, Address: from, Site: b.From.Site}
-	k.token++
-	p.confirmed, p.resentAt, p.resentToken, p.lineAt = b.At, now, k.token, now
-	k.peers[b.From.ID] = p
-	switch common, ok := k.tail.NotAfter(b.At); {
-	case k.tail.Holds(b.At):
-		k.resend(seat, b.At, ledger.Position{}, out)
-	case ok && !b.Whole:
-		k.resend(seat, common, b.At, out)
+	seat := wire.Member{ID: b.From.ID, Address: from, Zone: b.From.Zone}
+	r.lastSendID++
+	p.windowStart, p.resentAt, p.resentSendID, p.probedAt = b.Position, now, r.lastSendID, now
+	r.peers[b.From.ID] = p
+	switch common, ok := r.logTail.LastPossiblyCommon(b.Position); {
+	case r.logTail.Contains(b.Position):
+		r.restartAt(seat, b.Position, ledger.LogPosition{}, out)
+	case ok && !b.NeedsSnapshot:
+		r.restartAt(seat, common, b.Position, out)
 	default:
-		k.beginTransfer(now, seat, b.At, out)
+		r.startTransfer(now, seat, b.Position, out)
 	}
 }
 
 // resend sends a peer the first window after a position of this history. Where it
 // stands in another one, it is to go back to that position first.
-func (k *Keeper) resend(to wire.Seat, after, diverged ledger.Position, out *machine.Output) {
-	limit := k.limit()
-	if after.Sequence > limit.Sequence {
+func (r *Replica) restartAt(to wire.Member, after, diverged ledger.LogPosition, out *machine.Output) {
+	limit := r.catchUpLimit()
+	if after.Index > limit.Index {
 		limit = after
 	}
-	commands, end, ok := k.tail.Window(after, limit, windowEntries, windowBytes)
+	commands, end, ok := r.logTail.Window(after, limit, maxWindowCommands, maxWindowBytes)
 	if !ok {
 		return
 	}
-	body := k.replicateBody(after, commands)
-	body.Diverged = diverged
-	out.Send(to.Address, wire.Replicate, body)
-	p := k.peers[to.ID]
-	p.next = end
-	k.peers[to.ID] = p
+	body := r.replicateBody(after, commands)
+	body.DivergedAt = diverged
+	out.Send(to.Address, wire.KindReplicate, body)
+	p := r.peers[to.ID]
+	p.sentUpTo = end
+	r.peers[to.ID] = p
 }
 
 // replicate follows a member of the known view, and acks once all is synced.
-func (k *Keeper) replicate(now time.Duration, from string, b wire.ReplicateBody, out *machine.Output) {
-	if k.bouncedView(now, from, b.View, b.From, b.Boot, b.Token, out) {
+func (r *Replica) handleReplicate(now time.Duration, from string, b wire.ReplicateRequest, out *machine.Output) {
+	if r.rejectStaleSender(now, from, b.View, b.From, b.BootID, b.SendID, out) {
 		return
 	}
-	commands, err := decodeAll(b.Commands)
+	commands, err := decodeCommands(b.Commands)
 	if err != nil {
-		out.Log("line_damaged", "kind", wire.Replicate, "from", from, "why", err.Error())
+		out.Log("line_damaged", "kind", wire.KindReplicate, "from", from, "why", err.Error())
 		return
 	}
 	whole := false
-	if b.Diverged != (ledger.Position{}) && b.Diverged == k.ledger.Position() {
-		whole = !k.rewind(b.After)
-		out.Log("rewound", "from", b.Diverged.Sequence, "to", k.ledger.Position().Sequence)
+	if b.DivergedAt != (ledger.LogPosition{}) && b.DivergedAt == r.store.Position() {
+		whole = !r.rewind(b.Previous)
+		out.Log("rewound", "from", b.DivergedAt.Index, "to", r.store.Position().Index)
 	}
-	position := k.ledger.Position()
-	known := func(c ledger.Logged) bool { return c.Position == position }
+	position := r.store.Position()
+	known := func(c ledger.EncodedCommand) bool { return c.LogPosition == position }
 	if i := slices.IndexFunc(commands, known); i >= 0 {
-		b.After, commands = position, commands[i+1:]
+		b.Previous, commands = position, commands[i+1:]
 	}
-	if b.After != position {
-		out.Send(from, wire.ReplicateAck, wire.ReplicateAckBody{
-			Boot: b.Boot, Epoch: b.View.Epoch, From: k.seat, Token: b.Token, At: position,
-			Whole: whole, Known: k.witness.Known,
+	if b.Previous != position {
+		out.Send(from, wire.KindReplicateAck, wire.ReplicateAck{
+			BootID: b.BootID, Epoch: b.View.Epoch, From: r.self, SendID: b.SendID, Position: position,
+			NeedsSnapshot: whole, KnownView: r.acceptor.KnownView,
 		})
 		return
 	}
 	for _, cmd := range commands {
-		k.applyLogged(cmd)
+		r.applyEncoded(cmd)
 	}
-	k.willAck(from, b.Boot, b.View.Epoch, b.Token)
+	r.queueAck(from, b.BootID, b.View.Epoch, b.SendID)
 }
 
-func decodeAll(encoded []json.RawMessage) ([]ledger.Logged, error) {
-	out := make([]ledger.Logged, 0, len(encoded))
+func decodeCommands(encoded []json.RawMessage) ([]ledger.EncodedCommand, error) {
+	out := make([]ledger.EncodedCommand, 0, len(encoded))
 	for _, e := range encoded {
 		cmd, err := ledger.Decode(e)
 		if err != nil {
@@ -236,11 +236,11 @@
 	return out, nil
 }
 
-func (k *Keeper) willAck(to string, boot, epoch, token uint64) {
-	at := k.ledger.Position()
-	body := wire.ReplicateAckBody{
-		Boot: boot, Epoch: epoch, From: k.seat, Token: token, At: at, Good: true,
-		Stands: k.stands == epoch, Leaves: k.stopping, Known: k.witness.Known,
+func (r *Replica) queueAck(to string, boot, epoch, token uint64) {
+	at := r.store.Position()
+	body := wire.ReplicateAck{
+		BootID: boot, Epoch: epoch, From: r.self, SendID: token, Position: at, OK: true,
+		Candidate: r.candidateEpoch == epoch, Leaving: r.stopping, KnownView: r.acceptor.KnownView,
 	}
-	k.acks = append(k.acks, ack{to, body, at.Sequence})
+	r.pendingAcks = append(r.pendingAcks, pendingAck{to, body, at.Index})
 }
--- a/core/keeper/resume.go
+++ b/core/keeper/resume.go
@@ -12,77 +12,77 @@
 
 const (
 	// waitingMax is how many commands wait for a leader that is about to serve.
-	waitingMax = 1024
+	maxWaitingCommands = 1024
 	// waitingFor is how long one waits; then its caller is told to look elsewhere.
-	waitingFor = 500 * time.Millisecond
+	waitingTimeout = 500 * time.Millisecond
 )
 
 // waitingCommand is one that came before the leader could serve it.
 type waitingCommand struct {
-	from string
-	body wire.CommandBody
-	at   time.Duration
+	from       string
+	body       wire.CommandRequest
+	receivedAt time.Duration
 }
 
 // Resuming says whether this keeper keeps the lead, but waits for its new backups.
-func (k *Keeper) Resuming() bool { return k.resuming }
+func (r *Replica) Resuming() bool { return r.resuming }
 
 // Starting says whether this process leads by the known view, but does not serve yet.
-func (k *Keeper) Starting() bool {
-	return !k.serving && k.leads() && k.witness.Known.Boot == k.env.Boot
+func (r *Replica) Starting() bool {
+	return !r.serving && r.isPrimary() && r.acceptor.KnownView.BootID == r.config.BootID
 }
 
 // Terms counts the times that this process began to serve without having kept the
 // lead from the view before.
-func (k *Keeper) Terms() uint64 { return k.terms }
+func (r *Replica) Terms() uint64 { return r.terms }
 
 // resumes says whether the next view leaves the lead with this process. Nobody else
 // can have committed anything in between, since the views follow each other.
-func (k *Keeper) resumes(next wire.View) bool {
-	known := k.witness.Known
-	leads := k.leads() && known.Boot == k.env.Boot && (k.serving || k.resuming)
-	return leads && next.Epoch == known.Epoch+1 && next.Primary.ID == k.seat.ID && next.Boot == k.env.Boot
+func (r *Replica) keepsLeadership(next wire.View) bool {
+	known := r.acceptor.KnownView
+	leads := r.isPrimary() && known.BootID == r.config.BootID && (r.serving || r.resuming)
+	return leads && next.Epoch == known.Epoch+1 && next.Primary.ID == r.self.ID && next.BootID == r.config.BootID
 }
 
 // beginTerm takes up the commands that waited until this keeper serves.
-func (k *Keeper) beginTerm(now time.Duration, out *machine.Output) {
-	if !k.resuming {
-		k.terms++
+func (r *Replica) beginTerm(now time.Duration, out *machine.Output) {
+	if !r.resuming {
+		r.terms++
 	}
-	k.resuming = false
-	waiting := k.waiting
-	k.waiting = nil
+	r.resuming = false
+	waiting := r.waitingCommands
+	r.waitingCommands = nil
 	for _, w := range waiting {
-		k.command(now, w.from, w.body, out)
+		r.handleCommand(now, w.from, w.body, out)
 	}
 }
 
 // await keeps a command for a leader that is about to serve; it says whether it does.
-func (k *Keeper) await(now time.Duration, from string, body wire.CommandBody) bool {
-	if from == "" || k.stopping || !k.Starting() || len(k.waiting) >= waitingMax {
+func (r *Replica) holdCommand(now time.Duration, from string, body wire.CommandRequest) bool {
+	if from == "" || r.stopping || !r.Starting() || len(r.waitingCommands) >= maxWaitingCommands {
 		return false
 	}
-	k.waiting = append(k.waiting, waitingCommand{from, body, now})
+	r.waitingCommands = append(r.waitingCommands, waitingCommand{from, body, now})
 	return true
 }
 
 // rejectWaiting rejects the commands that have waited for too long.
-func (k *Keeper) rejectWaiting(now time.Duration, out *machine.Output) {
+func (r *Replica) rejectExpired(now time.Duration, out *machine.Output) {
 	n := 0
-	for n < len(k.waiting) && now-k.waiting[n].at > waitingFor {
-		k.back(k.waiting[n].from, k.notPrimary(k.waiting[n].body.ID), out)
+	for n < len(r.waitingCommands) && now-r.waitingCommands[n].receivedAt > waitingTimeout {
+		r.reply(r.waitingCommands[n].from, r.notPrimaryReply(r.waitingCommands[n].body.ID), out)
 		n++
 	}
-	k.waiting = k.waiting[n:]
+	r.waitingCommands = r.waitingCommands[n:]
 }
 
 // rejectAll rejects all that has no answer yet, since another leads now.
-func (k *Keeper) rejectAll(out *machine.Output) {
-	for _, a := range k.answers {
-		k.back(a.to, k.notPrimary(a.body.ID), out)
+func (r *Replica) rejectAll(out *machine.Output) {
+	for _, a := range r.pendingReplies {
+		r.reply(a.to, r.notPrimaryReply(a.body.ID), out)
 	}
-	for _, w := range k.waiting {
-		k.back(w.from, k.notPrimary(w.body.ID), out)
+	for _, w := range r.waitingCommands {
+		r.reply(w.from, r.notPrimaryReply(w.body.ID), out)
 	}
-	k.answers, k.waiting = nil, nil
+	r.pendingReplies, r.waitingCommands = nil, nil
 }
--- a/core/keeper/resume_test.go
+++ b/core/keeper/resume_test.go
@@ -8,33 +8,33 @@
 
 // TestALeaderThatReplacesABackupRejectsNothing loses each backup in turn. The leader
 // proposes a view with another, and answers all that came before and meanwhile.
-func TestALeaderThatReplacesABackupRejectsNothing(t *testing.T) {
+func TestReplacingABackupRejectsNothing(t *testing.T) {
 	for _, five := range []bool{false, true} {
 		for at := range 2 {
 			if !five && at > 0 {
 				continue
 			}
-			c := newTrio(t)
+			c := newCluster(t)
 			if five {
-				c = newFive(t)
+				c = newClusterOfFive(t)
 			}
-			c.yes()
+			c.advanceToAnswer()
 			leader := c.primary()
-			before, epoch := c.rejected[leader.address], leader.k.View().Epoch
-			terms := leader.k.Terms()
-			c.kill(c.host(leader.k.View().Backups[at].Address))
-			c.pass(4 * time.Second)
-			if leader.k.View().Epoch == epoch || c.primary() != leader {
-				t.Fatalf("five %v: the backup was not replaced by the same leader\n%s", five, c.tell(30))
+			before, epoch := c.rejected[leader.address], leader.replica.View().Epoch
+			terms := leader.replica.Terms()
+			c.kill(c.node(leader.replica.View().Backups[at].Address))
+			c.advance(4 * time.Second)
+			if leader.replica.View().Epoch == epoch || c.primary() != leader {
+				t.Fatalf("five %v: the backup was not replaced by the same leader\n%s", five, c.recentLog(30))
 			}
 			// From the loss until it is missed, a leader without proof says that it has none.
 			if n := c.rejected[leader.address] - before; n > 0 {
-				t.Errorf("five %v, backup %d: %d writes were sent elsewhere\n%s", five, at, n, c.tell(30))
+				t.Errorf("five %v, backup %d: %d writes were sent elsewhere\n%s", five, at, n, c.recentLog(30))
 			}
-			if leader.k.Terms() != terms {
-				t.Errorf("five %v: the leader began term %d anew", five, leader.k.Terms())
+			if leader.replica.Terms() != terms {
+				t.Errorf("five %v: the leader began term %d anew", five, leader.replica.Terms())
 			}
-			c.check()
+			c.checkAnswered()
 		}
 	}
 }
--- a/core/keeper/transfer.go
+++ b/core/keeper/transfer.go
@@ -15,47 +15,47 @@
 
 const (
 	// chunkMax bounds the records of a chunk, unless a single one is larger.
-	chunkMax = 64 << 10
+	maxChunkBytes = 64 << 10
 	// transfersMax is how many peers are sent the state at a time.
-	transfersMax = 2
+	maxTransfers = 2
 	// transferIdle is after how long without a question a transfer is given up.
-	transferIdle = 4 * time.Second
+	transferIdleTimeout = 4 * time.Second
 	// chunkAgain is how long a chunk is not sent again.
-	chunkAgain = 300 * time.Millisecond
+	chunkResendInterval = 300 * time.Millisecond
 	// sourceKept is how long a captured state is kept after it was last asked for.
-	sourceKept = 5 * time.Second
+	sourceTTL = 5 * time.Second
 )
 
 // outgoing is a transfer of the state to one peer.
-type outgoing struct {
-	peerAt ledger.Position // where the peer stood when it began
-	at     ledger.Position // of the state
-	index  int             // of the last chunk sent
-	sentAt time.Duration
+type outgoingTransfer struct {
+	peerPosition ledger.LogPosition // where the peer stood when it began
+	position     ledger.LogPosition // of the state
+	chunk        int                // of the last chunk sent
+	sentAt       time.Duration
 }
 
-func (o outgoing) active(now time.Duration) bool {
-	return o.sentAt > 0 && now-o.sentAt < transferIdle
+func (o outgoingTransfer) active(now time.Duration) bool {
+	return o.sentAt > 0 && now-o.sentAt < transferIdleTimeout
 }
 
 // source is the state at one position, from which chunks are encoded as they are
 // asked for. All peers that need the state share it.
-type source struct {
-	capture *ledger.Capture
-	keys    []ledger.Key
+type snapshotSource struct {
+	capture *ledger.Snapshot
+	keys    []ledger.RecordKey
 	// starts are the first records of the chunks that were encoded so far and of the
 	// next one; sums are the digests of all chunks before each of them.
-	starts []int
-	sums   []digest
-	usedAt time.Duration
+	chunkStarts  []int
+	chunkDigests []digest
+	usedAt       time.Duration
 }
 
 // digest is of a position and the chunks so far.
 type digest [sha256.Size]byte
 
-func digestOf(at ledger.Position) digest { return sha256.Sum256(machine.MustJSON(at)) }
+func digestOf(at ledger.LogPosition) digest { return sha256.Sum256(machine.MustJSON(at)) }
 
-func (d digest) with(chunk []byte) digest {
+func (d digest) extend(chunk []byte) digest {
 	sum := sha256.New()
 	sum.Write(d[:])
 	sum.Write(chunk)
@@ -64,20 +64,20 @@
 
 func (d digest) String() string { return hex.EncodeToString(d[:]) }
 
-func newSource(l *ledger.Ledger) *source {
-	capture := l.Capture()
-	return &source{
-		capture: capture, keys: capture.Keys(), starts: []int{0}, sums: []digest{digestOf(capture.Position())},
+func newSnapshotSource(store *ledger.Store) *snapshotSource {
+	capture := store.Snapshot()
+	return &snapshotSource{
+		capture: capture, keys: capture.Keys(), chunkStarts: []int{0}, chunkDigests: []digest{digestOf(capture.Position())},
 	}
 }
 
 // chunk encodes one chunk; those before it must have been encoded before.
-func (s *source) chunk(index int) (records json.RawMessage, last bool) {
-	next := s.starts[index]
+func (s *snapshotSource) encodeChunk(index int) (records json.RawMessage, last bool) {
+	next := s.chunkStarts[index]
 	out := bytes.NewBufferString("[")
 	for ; next < len(s.keys); next++ {
 		record := machine.MustJSON(s.capture.Record(s.keys[next]))
-		if out.Len() > 1 && out.Len()+len(record) > chunkMax {
+		if out.Len() > 1 && out.Len()+len(record) > maxChunkBytes {
 			break
 		}
 		if out.Len() > 1 {
@@ -86,76 +86,76 @@
 		out.Write(record)
 	}
 	out.WriteByte(']')
-	if index == len(s.starts)-1 {
-		s.starts = append(s.starts, next)
-		s.sums = append(s.sums, s.sums[index].with(out.Bytes()))
+	if index == len(s.chunkStarts)-1 {
+		s.chunkStarts = append(s.chunkStarts, next)
+		s.chunkDigests = append(s.chunkDigests, s.chunkDigests[index].extend(out.Bytes()))
 	}
 	return out.Bytes(), next == len(s.keys)
 }
 
 // beginTransfer starts the transfer of the state to a peer, unless as many are under way as may.
-func (k *Keeper) beginTransfer(now time.Duration, to wire.Seat, at ledger.Position, out *machine.Output) {
+func (r *Replica) startTransfer(now time.Duration, to wire.Member, at ledger.LogPosition, out *machine.Output) {
 	active := 0
-	for _, p := range k.peers {
+	for _, p := range r.peers {
 		if p.transfer.active(now) {
 			active++
 		}
 	}
-	if active >= transfersMax {
+	if active >= maxTransfers {
 		return
 	}
-	if k.source == nil {
-		k.source = newSource(k.ledger)
+	if r.source == nil {
+		r.source = newSnapshotSource(r.store)
 	}
-	p := k.peers[to.ID]
-	p.transfer = outgoing{peerAt: at, at: k.source.capture.Position()}
-	k.peers[to.ID] = p
-	out.Log("snapshot_begun", "to", to.Address, "sequence", p.transfer.at.Sequence, "records", len(k.source.keys))
-	k.sendChunk(now, to, 0, out)
+	p := r.peers[to.ID]
+	p.transfer = outgoingTransfer{peerPosition: at, position: r.source.capture.Position()}
+	r.peers[to.ID] = p
+	out.Log("snapshot_begun", "to", to.Address, "sequence", p.transfer.position.Index, "records", len(r.source.keys))
+	r.sendChunk(now, to, 0, out)
 }
 
-func (k *Keeper) sendChunk(now time.Duration, to wire.Seat, index int, out *machine.Output) {
-	p := k.peers[to.ID]
-	records, last := k.source.chunk(index)
-	k.token++
-	body := wire.SnapshotBody{
-		Boot: k.env.Boot, View: k.witness.Known, From: k.seat, Token: k.token,
-		For: p.transfer.peerAt, At: p.transfer.at, Index: index, Records: records, Last: last,
+func (r *Replica) sendChunk(now time.Duration, to wire.Member, index int, out *machine.Output) {
+	p := r.peers[to.ID]
+	records, last := r.source.encodeChunk(index)
+	r.lastSendID++
+	body := wire.SnapshotChunk{
+		BootID: r.config.BootID, View: r.acceptor.KnownView, From: r.self, SendID: r.lastSendID,
+		ReceiverPosition: p.transfer.peerPosition, Position: p.transfer.position, ChunkIndex: index, Records: records, Last: last,
 	}
 	if last {
-		body.Digest = k.source.sums[index+1].String()
-		p.resentAt, p.resentToken, p.next = now, k.token, p.transfer.at
+		body.Digest = r.source.chunkDigests[index+1].String()
+		p.resentAt, p.resentSendID, p.sentUpTo = now, r.lastSendID, p.transfer.position
 	}
-	out.Send(to.Address, wire.Snapshot, body)
-	p.transfer.index, p.transfer.sentAt = index, now
-	k.peers[to.ID] = p
-	k.source.usedAt = now
+	out.Send(to.Address, wire.KindSnapshotChunk, body)
+	p.transfer.chunk, p.transfer.sentAt = index, now
+	r.peers[to.ID] = p
+	r.source.usedAt = now
 }
 
 // asks sends a peer the chunk that it asks for.
-func (k *Keeper) asks(now time.Duration, from string, b wire.SnapshotAskBody, out *machine.Output) {
-	if b.Boot != k.env.Boot || b.Epoch != k.witness.Known.Epoch || !k.leads() && !k.backs() {
+func (r *Replica) handleChunkRequest(now time.Duration, from string, b wire.SnapshotRequest, out *machine.Output) {
+	if b.BootID != r.config.BootID || b.Epoch != r.acceptor.KnownView.Epoch || !r.isPrimary() && !r.isBackup() {
 		return
 	}
-	p := k.peers[b.From.ID]
+	p := r.peers[b.From.ID]
 	p.heardAt = now
-	k.peers[b.From.ID] = p
+	r.peers[b.From.ID] = p
 	sent := p.transfer
-	if !sent.active(now) || k.source == nil || b.At != sent.at || k.source.capture.Position() != b.At {
+	if !sent.active(now) || r.source == nil || b.Position != sent.position || r.source.capture.Position() != b.Position {
 		return
 	}
-	doubled := b.Index == sent.index && now-sent.sentAt < chunkAgain
-	if b.Index >= 0 && b.Index < len(k.source.starts) && !doubled {
-		k.sendChunk(now, wire.Seat{ID: b.From.ID, Address: from, Site: b.From.Site}, b.Index, out)
+	doubled := b.ChunkIndex == sent.chunk && now-sent.sentAt < chunkResendInterval
+	if b.ChunkIndex >= 0 && b.ChunkIndex < len(r.source.chunkStarts) && !doubled {
+		r.sendChunk(now, wire.Member{ID: b.From.ID, Address: from, Zone: b.From.Zone}, b.ChunkIndex, out)
 	}
 }
 
 // dropSource lets go of a state that nobody asks for, or that the tail has left behind.
-func (k *Keeper) dropSource(now time.Duration) {
-	if k.source == nil {
+func (r *Replica) releaseSource(now time.Duration) {
+	if r.source == nil {
 		return
 	}
-	if now-k.source.usedAt > sourceKept || !k.tail.Holds(k.source.capture.Position()) {
-		k.source = nil
+	if now-r.source.usedAt > sourceTTL || !r.logTail.Contains(r.source.capture.Position()) {
+		r.source = nil
 	}
 }
--- a/core/ledger/busyness.go
+++ b/core/ledger/busyness.go
@@ -13,65 +13,65 @@
 // the free ones among those heard lately. Used counts turns by class; a turn
 // that waits for a word from a lost worker is no use of what is left. The map is
 // shared: it is not to be changed, and good until the next command.
-type Busyness struct {
+type ServiceLoad struct {
 	Slots, Idle int
 	Used        map[string]int
 }
 
 // busyness is one that was counted, and how long it stands if no worker changes.
-type busyness struct {
-	Busyness
-	until time.Duration
+type cachedServiceLoad struct {
+	ServiceLoad
+	validUntil time.Duration
 }
 
 // counts says whether a worker's slots are among those that shares are parts of.
-func (l *Ledger) counts(w Worker) bool {
-	return !w.Leaving && !w.Drained && !l.emptied[w.Site] && (l.at <= w.CutoffAt || l.Live(w))
+func (l *Store) countsForShares(w Worker) bool {
+	return !w.Leaving && !w.Drained && !l.drainedZones[w.Zone] && (l.now <= w.LeaseExpiresAt || l.Live(w))
 }
 
 // Busyness gives that of a service.
-func (l *Ledger) Busyness(service string) Busyness {
-	if known, ok := l.busy[service]; ok && l.at <= known.until {
-		return known.Busyness
+func (l *Store) ServiceLoad(service string) ServiceLoad {
+	if known, ok := l.serviceLoads[service]; ok && l.now <= known.validUntil {
+		return known.ServiceLoad
 	}
-	b := &busyness{Busyness{Used: map[string]int{}}, math.MaxInt64}
+	b := &cachedServiceLoad{ServiceLoad{Used: map[string]int{}}, math.MaxInt64}
 	for id, w := range l.workers {
-		if w.Service == service && l.counts(w) {
-			b.add(l, w, l.loads[id])
+		if w.Service == service && l.countsForShares(w) {
+			b.addWorker(l, w, l.usage[id])
 		}
 	}
-	l.busy[service] = b
-	return b.Busyness
+	l.serviceLoads[service] = b
+	return b.ServiceLoad
 }
 
 // add counts a worker with its turns.
-func (b *busyness) add(l *Ledger, w Worker, o load) {
-	for class, slots := range o.classes {
-		b.use(class, slots)
+func (b *cachedServiceLoad) addWorker(l *Store, w Worker, o workerUsage) {
+	for class, slots := range o.slotsByClass {
+		b.addUse(class, slots)
 	}
 	b.Slots += w.Capacity.Slots
 	if !l.Live(w) {
-		b.until = min(b.until, w.CutoffAt)
+		b.validUntil = min(b.validUntil, w.LeaseExpiresAt)
 		return
 	}
 	b.Idle += w.Capacity.Slots - o.used.Slots
-	b.until = min(b.until, w.SeenAt+l.plan.Limits.Silent.Duration)
+	b.validUntil = min(b.validUntil, w.LastSeenAt+l.config.Limits.HeartbeatTimeout.Duration)
 }
 
-func (b *busyness) use(class string, slots int) {
+func (b *cachedServiceLoad) addUse(class string, slots int) {
 	if b.Used[class] += slots; b.Used[class] == 0 {
 		delete(b.Used, class)
 	}
 }
 
 // recount takes a turn that came to a worker or left it.
-func (l *Ledger) recount(worker, class string, slots int) {
+func (l *Store) updateServiceLoad(worker, class string, slots int) {
 	w := l.workers[worker]
-	b, known := l.busy[w.Service]
-	if !known || !l.counts(w) {
+	b, known := l.serviceLoads[w.Service]
+	if !known || !l.countsForShares(w) {
 		return
 	}
-	b.use(class, slots)
+	b.addUse(class, slots)
 	if l.Live(w) {
 		b.Idle -= slots
 	}
@@ -79,11 +79,11 @@
 
 // forgetBusyness has that of a worker's service counted anew, unless the worker
 // counts there as it did before.
-func (l *Ledger) forgetBusyness(old, now Worker) {
-	if old.Service == now.Service && l.counts(old) == l.counts(now) && l.Live(old) == l.Live(now) &&
+func (l *Store) invalidateServiceLoad(old, now Worker) {
+	if old.Service == now.Service && l.countsForShares(old) == l.countsForShares(now) && l.Live(old) == l.Live(now) &&
 		old.Capacity.Slots == now.Capacity.Slots {
 		return
 	}
-	delete(l.busy, old.Service)
-	delete(l.busy, now.Service)
+	delete(l.serviceLoads, old.Service)
+	delete(l.serviceLoads, now.Service)
 }
--- a/core/ledger/decision.go
+++ b/core/ledger/decision.go
@@ -11,23 +11,23 @@
 
 // Decision is one thing decided.
 type Decision struct {
-	Kind   string `json:"kind"`
-	Job    string `json:"job,omitempty"`
-	Task   string `json:"task,omitempty"`
-	Try    int    `json:"try,omitempty"`
-	Worker string `json:"worker,omitempty"`
-	Name   string `json:"name,omitempty"`
-	Good   bool   `json:"good,omitempty"`
-	Plan   uint64 `json:"plan,omitempty"`
-	Digest string `json:"digest,omitempty"`
+	Kind          string `json:"kind"`
+	Job           string `json:"job,omitempty"`
+	Task          string `json:"task,omitempty"`
+	AttemptNumber int    `json:"try,omitempty"`
+	Worker        string `json:"worker,omitempty"`
+	Name          string `json:"name,omitempty"`
+	Succeeded     bool   `json:"good,omitempty"`
+	ConfigVersion uint64 `json:"plan,omitempty"`
+	Digest        string `json:"digest,omitempty"`
 }
 
 // Entry is all that one command decided. AtMs is ledger time.
-type Entry struct {
-	Position
-	AtMs      int64      `json:"atMs"`
-	Previous  uint64     `json:"previous"`
-	Decisions []Decision `json:"decisions"`
+type AuditEntry struct {
+	LogPosition
+	TimeMs        int64      `json:"atMs"`
+	PreviousIndex uint64     `json:"previous"`
+	Decisions     []Decision `json:"decisions"`
 }
 
 func digest(v any) string {
@@ -35,20 +35,20 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (l *Ledger) decide(d Decision) { l.decided = append(l.decided, d) }
+func (l *Store) recordDecision(d Decision) { l.pendingDecisions = append(l.pendingDecisions, d) }
 
 // enter closes a command's decisions into an entry.
-func (l *Ledger) enter() {
-	if len(l.decided) == 0 {
+func (l *Store) closeAuditEntry() {
+	if len(l.pendingDecisions) == 0 {
 		return
 	}
-	l.entries = append(l.entries, Entry{l.position, l.at.Milliseconds(), l.decision, l.decided})
-	l.decided, l.decision = nil, l.position.Sequence
+	l.auditEntries = append(l.auditEntries, AuditEntry{l.position, l.now.Milliseconds(), l.lastDecisionIndex, l.pendingDecisions})
+	l.pendingDecisions, l.lastDecisionIndex = nil, l.position.Index
 }
 
 // TakeEntries hands over the entries since it was last called.
-func (l *Ledger) TakeEntries() []Entry {
-	out := l.entries
-	l.entries = nil
+func (l *Store) TakeAuditEntries() []AuditEntry {
+	out := l.auditEntries
+	l.auditEntries = nil
 	return out
 }
--- a/core/ledger/dryrun.go
+++ b/core/ledger/dryrun.go
@@ -11,45 +11,45 @@
 // DryRow is one class under the plan in force and under the one on trial. Order
 // is the policy's result for the task that has waited longest, Borrow whether
 // one slot more than the share would be lent.
-type DryRow struct {
-	Service string  `json:"service"`
-	Class   string  `json:"class"`
-	Waiting int     `json:"waiting"`
-	Used    int     `json:"usedSlots"`
-	Now     DrySide `json:"now"`
-	Then    DrySide `json:"then"`
+type DryRunRow struct {
+	Service   string        `json:"service"`
+	Class     string        `json:"class"`
+	Waiting   int           `json:"waiting"`
+	UsedSlots int           `json:"usedSlots"`
+	Current   DryRunOutcome `json:"now"`
+	Proposed  DryRunOutcome `json:"then"`
 }
 
-type DrySide struct {
-	Known  bool    `json:"known"`
-	Share  int     `json:"shareSlots"`
-	Order  float64 `json:"order"`
-	Borrow bool    `json:"borrow"`
+type DryRunOutcome struct {
+	Known      bool    `json:"known"`
+	ShareSlots int     `json:"shareSlots"`
+	Order      float64 `json:"order"`
+	Borrow     bool    `json:"borrow"`
 }
 
 // DryRun compares the plan in force with another.
-func (l *Ledger) DryRun(next plan.Plan) []DryRow {
+func (l *Store) DryRun(next plan.Config) []DryRunRow {
 	type oldest struct {
 		waiting int
-		names   plan.OrderNames
+		names   plan.OrderInput
 	}
 	heads := map[[2]string]oldest{}
-	for _, job := range l.Active() {
+	for _, job := range l.ActiveJobs() {
 		for i, t := range job.Tasks {
-			if t.State != Open || t.Turn.Held() {
+			if t.State != Ready || t.Lease.Held() {
 				continue
 			}
 			key := [2]string{job.Spec.Service, job.Spec.Class}
 			h := heads[key]
-			if waited := (l.at - t.ReleasedAt).Seconds(); h.waiting == 0 || waited > h.names.Waited {
-				h.names = plan.OrderNames{Level: t.Level, Waited: waited, Class: key[1], Service: key[0], Slots: job.Spec.Tasks[i].Room.Slots}
+			if waited := (l.now - t.ReadyAt).Seconds(); h.waiting == 0 || waited > h.names.WaitedSeconds {
+				h.names = plan.OrderInput{Level: t.Level, WaitedSeconds: waited, Class: key[1], Service: key[0], Slots: job.Spec.Tasks[i].Resources.Slots}
 			}
 			h.waiting++
 			heads[key] = h
 		}
 	}
 	keys := map[[2]string]bool{}
-	for _, p := range []plan.Plan{l.plan, next} {
+	for _, p := range []plan.Config{l.config, next} {
 		for service, s := range p.Services {
 			for class := range s.Classes {
 				keys[[2]string{service, class}] = true
@@ -59,12 +59,12 @@
 	for key := range heads {
 		keys[key] = true
 	}
-	rows := []DryRow{}
+	rows := []DryRunRow{}
 	for key := range keys {
 		h := heads[key]
-		row := DryRow{Service: key[0], Class: key[1], Waiting: h.waiting, Used: l.Busyness(key[0]).Used[key[1]]}
-		row.Now = l.drySide(l.plan, l.rules, key, h.names)
-		row.Then = l.drySide(next, next.Compile(), key, h.names)
+		row := DryRunRow{Service: key[0], Class: key[1], Waiting: h.waiting, UsedSlots: l.ServiceLoad(key[0]).Used[key[1]]}
+		row.Current = l.dryRunOutcome(l.config, l.policies, key, h.names)
+		row.Proposed = l.dryRunOutcome(next, next.Compile(), key, h.names)
 		rows = append(rows, row)
 	}
 	sort.Slice(rows, func(i, j int) bool {
@@ -73,16 +73,16 @@
 	return rows
 }
 
-func (l *Ledger) drySide(p plan.Plan, rules plan.Rules, key [2]string, names plan.OrderNames) DrySide {
+func (l *Store) dryRunOutcome(p plan.Config, rules plan.CompiledPolicies, key [2]string, names plan.OrderInput) DryRunOutcome {
 	class, known := p.Services[key[0]].Classes[key[1]]
-	b := l.Busyness(key[0])
+	b := l.ServiceLoad(key[0])
 	share, used := (b.Slots*class.Share+99)/100, b.Used[key[1]]
 	names.Priority, names.Share, names.Used = class.Priority, share, used
-	return DrySide{
-		Known: known, Share: share, Order: rules.Order(names),
-		Borrow: known && rules.Borrow(plan.BorrowNames{
-			Total: b.Slots, Idle: b.Idle, Asked: 1, Used: max(used, share), Share: share,
-			Waiting: l.Owed(key[0], key[1]), Class: key[1], Service: key[0],
+	return DryRunOutcome{
+		Known: known, ShareSlots: share, Order: rules.Order(names),
+		Borrow: known && rules.Borrow(plan.BorrowInput{
+			Total: b.Slots, Idle: b.Idle, Requested: 1, Used: max(used, share), Share: share,
+			Waiting: l.UnmetDemand(key[0], key[1]), Class: key[1], Service: key[0],
 		}),
 	}
 }
--- a/core/ledger/encoding.go
+++ b/core/ledger/encoding.go
@@ -10,17 +10,17 @@
 // Logged is a command beside its encoding. A command is encoded once, by the
 // primary that stamps it; the log on each disk, the replicas and the followers
 // share these bytes, which must not be changed.
-type Logged struct {
+type EncodedCommand struct {
 	Command
 	Encoded json.RawMessage
 }
 
 // Encode is the only place that encodes a command.
-func Encode(cmd Command) Logged { return Logged{cmd, machine.MustMarshal(cmd)} }
+func Encode(cmd Command) EncodedCommand { return EncodedCommand{cmd, machine.MustMarshal(cmd)} }
 
 // Decode reads what Encode wrote. The encoding shares the data.
-func Decode(encoded json.RawMessage) (Logged, error) {
-	logged := Logged{Encoded: encoded}
+func Decode(encoded json.RawMessage) (EncodedCommand, error) {
+	logged := EncodedCommand{Encoded: encoded}
 	err := machine.Unmarshal(encoded, &logged.Command)
 	return logged, err
 }
--- a/core/ledger/explain.go
+++ b/core/ledger/explain.go
@@ -11,14 +11,14 @@
 )
 
 // Explain says why a job has not ended yet.
-func (l *Ledger) Explain(id string) string {
+func (l *Store) Explain(id string) string {
 	job, ok := l.jobs[id]
 	if !ok {
 		return "job " + id + " is not known"
 	}
-	if ended(job) {
-		if job.Why != "" {
-			return fmt.Sprintf("job %s is %s: %s", id, job.State, job.Why)
+	if jobEnded(job) {
+		if job.Reason != "" {
+			return fmt.Sprintf("job %s is %s: %s", id, job.State, job.Reason)
 		}
 		return fmt.Sprintf("job %s is %s", id, job.State)
 	}
@@ -26,48 +26,48 @@
 	for i, t := range job.Tasks {
 		name := job.Spec.Tasks[i].ID
 		switch {
-		case t.Turn.Held() && t.Turn.Stop != "":
-			parts = append(parts, fmt.Sprintf("task %s is being stopped on %s: %s", name, t.Turn.Worker, t.Turn.Stop))
-		case t.Turn.Held() && !l.Live(l.workers[t.Turn.Worker]):
-			parts = append(parts, fmt.Sprintf("task %s is %s", name, l.silence(job, i)))
-		case t.Turn.StartedAt > 0:
-			parts = append(parts, fmt.Sprintf("task %s runs on %s", name, t.Turn.Worker))
-		case t.Turn.Held():
-			parts = append(parts, fmt.Sprintf("task %s is granted to %s, which has not confirmed it yet", name, t.Turn.Worker))
+		case t.Lease.Held() && t.Lease.StopReason != "":
+			parts = append(parts, fmt.Sprintf("task %s is being stopped on %s: %s", name, t.Lease.Worker, t.Lease.StopReason))
+		case t.Lease.Held() && !l.Live(l.workers[t.Lease.Worker]):
+			parts = append(parts, fmt.Sprintf("task %s is %s", name, l.explainSilence(job, i)))
+		case t.Lease.StartedAt > 0:
+			parts = append(parts, fmt.Sprintf("task %s runs on %s", name, t.Lease.Worker))
+		case t.Lease.Held():
+			parts = append(parts, fmt.Sprintf("task %s is granted to %s, which has not confirmed it yet", name, t.Lease.Worker))
 		case t.State == Waiting:
-			parts = append(parts, fmt.Sprintf("task %s waits for %s", name, strings.Join(l.missing(job, i), ", ")))
-		case t.State == Open:
-			parts = append(parts, fmt.Sprintf("task %s waits: %s", name, l.obstacle(job, i)))
+			parts = append(parts, fmt.Sprintf("task %s waits for %s", name, strings.Join(l.missingDependencies(job, i), ", ")))
+		case t.State == Ready:
+			parts = append(parts, fmt.Sprintf("task %s waits: %s", name, l.explainObstacle(job, i)))
 		}
 	}
 	return "job " + id + ": " + strings.Join(parts, "; ")
 }
 
 // silence says what a task on a silent worker waits for.
-func (l *Ledger) silence(job Job, i int) string {
-	turn := job.Tasks[i].Turn
-	since := (l.at - l.workers[turn.Worker].SeenAt).Round(100 * time.Millisecond)
-	if l.Held(job, i) {
+func (l *Store) explainSilence(job Job, i int) string {
+	turn := job.Tasks[i].Lease
+	since := (l.now - l.workers[turn.Worker].LastSeenAt).Round(100 * time.Millisecond)
+	if l.HeldForLostWorker(job, i) {
 		return fmt.Sprintf("held: %s has been silent for %s and may have ended it well; it goes on when the worker is heard, or an operator says that it is gone", turn.Worker, since)
 	}
-	return fmt.Sprintf("on %s, which has been silent for %s; without a word it is free in %s", turn.Worker, since, max(0, l.endedBy(turn)-l.at).Round(100*time.Millisecond))
+	return fmt.Sprintf("on %s, which has been silent for %s; without a word it is free in %s", turn.Worker, since, max(0, l.latestEnd(turn)-l.now).Round(100*time.Millisecond))
 }
 
-func (l *Ledger) missing(job Job, i int) []string {
+func (l *Store) missingDependencies(job Job, i int) []string {
 	var out []string
-	for _, j := range job.Spec.Tasks[i].Needs {
+	for _, j := range job.Spec.Tasks[i].Dependencies {
 		if job.Tasks[j].State != Done {
 			out = append(out, job.Spec.Tasks[j].ID)
 		}
 	}
-	if job.Tasks[i].DueAt > l.at {
-		out = append(out, fmt.Sprintf("its time in %s", (job.Tasks[i].DueAt-l.at).Round(time.Second)))
+	if job.Tasks[i].DueAt > l.now {
+		out = append(out, fmt.Sprintf("its time in %s", (job.Tasks[i].DueAt-l.now).Round(time.Second)))
 	}
 	return out
 }
 
 // obstacle counts, over the workers of the service, what keeps a task away.
-func (l *Ledger) obstacle(job Job, i int) string {
+func (l *Store) explainObstacle(job Job, i int) string {
 	spec := job.Spec.Tasks[i]
 	counts := map[code.Code]int{}
 	of, room := 0, 0
@@ -78,7 +78,7 @@
 		of++
 		c := l.Fits(job, i, w)
 		if c == code.OK {
-			if l.Room(w.ID()).Holds(spec.Room) {
+			if l.FreeResources(w.ID()).Covers(spec.Resources) {
 				room++
 			}
 		}
@@ -89,24 +89,24 @@
 		return "no worker of service " + job.Spec.Service + " has beaten yet"
 	case counts[code.OK] == 0:
 		var why []string
-		for _, c := range []code.Code{code.WrongWorker, code.WorkerSilent, code.Draining, code.SiteEmptied} {
+		for _, c := range []code.Code{code.WorkerMismatch, code.WorkerUnresponsive, code.Draining, code.ZoneDrained} {
 			if counts[c] > 0 {
 				why = append(why, fmt.Sprintf("%d %s", counts[c], map[code.Code]string{
-					code.WrongWorker: "lack a label", code.WorkerSilent: "are silent", code.Draining: "are draining", code.SiteEmptied: "stand in an emptied site",
+					code.WorkerMismatch: "lack a label", code.WorkerUnresponsive: "are silent", code.Draining: "are draining", code.ZoneDrained: "stand in an emptied site",
 				}[c]))
 			}
 		}
 		return fmt.Sprintf("of %d workers none may take it: %s", of, strings.Join(why, ", "))
 	}
-	if allowed, _ := l.Allowed(job.Spec.Service, job.Spec.Class, spec.Room.Slots, nil); !allowed {
+	if allowed, _ := l.CheckShare(job.Spec.Service, job.Spec.Class, spec.Resources.Slots, nil); !allowed {
 		usedSlots, shareSlots := l.ClassUse(job.Spec.Service, job.Spec.Class)
 		return fmt.Sprintf("class %s uses %d slots of its share of %d, and may not borrow now", job.Spec.Class, usedSlots, shareSlots)
 	}
 	switch {
 	case room == 0:
-		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now", counts[code.OK], spec.Room.Slots, spec.Room.Cores)
-	case spec.Gang != "" && l.needOf(job, i).gang > l.Busyness(job.Spec.Service).Slots:
-		return fmt.Sprintf("the gang %s needs %d slots at once, the workers there have %d", spec.Gang, l.needOf(job, i).gang, l.Busyness(job.Spec.Service).Slots)
+		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now", counts[code.OK], spec.Resources.Slots, spec.Resources.Cores)
+	case spec.Gang != "" && l.demandOf(job, i).gangSlots > l.ServiceLoad(job.Spec.Service).Slots:
+		return fmt.Sprintf("the gang %s needs %d slots at once, the workers there have %d", spec.Gang, l.demandOf(job, i).gangSlots, l.ServiceLoad(job.Spec.Service).Slots)
 	case spec.Gang != "":
 		return "the gang " + spec.Gang + " needs room for all its members at once"
 	}
--- a/core/ledger/handin_test.go
+++ b/core/ledger/handin_test.go
@@ -19,7 +19,7 @@
 	const ofOneClass = `{"classes":{"c":{"priority":1,"share":100}}}`
 	body := fmt.Sprintf(`{"services":{"one":%s,"two":%s},"limits":{"keep":"1m","remember":"1h"},"entries":[%s]}`,
 		ofOneClass, ofOneClass, entries)
-	return ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Forced: true, Body: []byte(body)}}
+	return ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Forced: true, Body: []byte(body)}}
 }
 
 // TestAJobHandedInAgainIsTheSame: its answer was lost, and it comes again, also after
@@ -27,46 +27,46 @@
 // one clear answer; other content under its id is turned away.
 func TestAJobHandedInAgainIsTheSame(t *testing.T) {
 	job := func(payload string) ledger.Command {
-		steps := []ledger.StepSpec{{Count: 2, Room: ledger.Room{Slots: 1}}}
+		steps := []ledger.StepSpec{{Count: 2, Resources: ledger.Resources{Slots: 1}}}
 		spec := ledger.JobSpec{ID: "j", Host: "h", Path: "/q/j", Payload: []byte(payload), Steps: steps}
-		return ledger.Command{Kind: ledger.KindAccept, Host: "h", Path: "/q/j", Brief: true, Accept: spec}
+		return ledger.Command{Kind: ledger.KindAcceptJob, Host: "h", Path: "/q/j", Summary: true, Job: spec}
 	}
 	between := []struct {
 		name string
-		do   func(w *ledgertest.World)
+		do   func(w *ledgertest.Fixture)
 	}{
-		{"nothing", func(*ledgertest.World) {}},
-		{"its entry is dropped and comes back", func(w *ledgertest.World) {
-			w.Must(withEntry("one", true))
-			if a := w.Do(job(`"text"`)); a.Code != code.NoEntry {
+		{"nothing", func(*ledgertest.Fixture) {}},
+		{"its entry is dropped and comes back", func(w *ledgertest.Fixture) {
+			w.MustApply(withEntry("one", true))
+			if a := w.Apply(job(`"text"`)); a.Code != code.NoRoute {
 				t.Errorf("without an entry: %v", a.Code)
 			}
-			w.Must(withEntry("one", false))
+			w.MustApply(withEntry("one", false))
 		}},
-		{"its entry leads to another service", func(w *ledgertest.World) { w.Must(withEntry("two", false)) }},
-		{"it is cancelled and its record gone", func(w *ledgertest.World) {
-			w.Must(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
-			w.Pass(2 * time.Minute)
+		{"its entry leads to another service", func(w *ledgertest.Fixture) { w.MustApply(withEntry("two", false)) }},
+		{"it is cancelled and its record gone", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
+			w.Advance(2 * time.Minute)
 		}},
-		{"its record is gone and its entry leads elsewhere", func(w *ledgertest.World) {
-			w.Must(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
-			w.Pass(2 * time.Minute)
-			w.Must(withEntry("two", false))
+		{"its record is gone and its entry leads elsewhere", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
+			w.Advance(2 * time.Minute)
+			w.MustApply(withEntry("two", false))
 		}},
 	}
 	for _, row := range between {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Must(withEntry("one", false))
-			w.Must(job(`"text"`))
+			w.MustApply(withEntry("one", false))
+			w.MustApply(job(`"text"`))
 			row.do(w)
-			if a := w.Do(job(`"text"`)); a.Code != code.Same {
-				t.Errorf("the same again: %v %s", a.Code, a.Why)
+			if a := w.Apply(job(`"text"`)); a.Code != code.AlreadyDone {
+				t.Errorf("the same again: %v %s", a.Code, a.Reason)
 			}
-			if a := w.Do(job(`"other"`)); a.Code != code.OtherContent {
-				t.Errorf("with other content: %v %s", a.Code, a.Why)
+			if a := w.Apply(job(`"other"`)); a.Code != code.JobConflict {
+				t.Errorf("with other content: %v %s", a.Code, a.Reason)
 			}
-			same(t, w.Ledger)
+			same(t, w.Store)
 		})
 	}
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -20,185 +20,185 @@
 	"sorrelloom/core/plan"
 )
 
-type ref struct {
-	job  string
-	task int
+type taskRef struct {
+	job   string
+	index int
 }
 
-type need struct {
+type demand struct {
 	service, class, labels string
-	room                   Room
-	gang                   int
+	resources              Resources
+	gangSlots              int
 }
 
 // Changed names a task or a worker that the last commands touched.
-type Changed struct {
+type Change struct {
 	Job    string
 	Task   int
 	Worker string
 	All    bool
 }
 
-type Ledger struct {
-	position Position
-	at       time.Duration
-	next     uint64
-	plan     plan.Plan
-	rules    plan.Rules
-	jobs     map[string]Job
-	workers  map[string]Worker
-	emptied  map[string]bool
+type Store struct {
+	position       LogPosition
+	now            time.Duration
+	nextTaskNumber uint64
+	config         plan.Config
+	policies       plan.CompiledPolicies
+	jobs           map[string]Job
+	workers        map[string]Worker
+	drainedZones   map[string]bool
 	// orders gives the sequence of the last order to each site.
-	orders   map[string]uint64
-	duties   map[string]Duty
-	daemons  map[string]Daemon
-	requests memory[Request]
-	plans    memory[Request]
-	past     memory[Past]
-	horizon  time.Duration
-
-	turns   map[string]map[ref]bool
-	loads   map[string]load
-	inbox   map[[2]string]int
-	waiting map[need]int
-	active  map[string]bool
-	over    []string
-	timed   map[ref]bool
-	cloned  map[string]bool
-	changes []Changed
-	lookups lookups
+	zoneOrders     map[string]uint64
+	leaderships    map[string]Leadership
+	schedulers     map[string]Scheduler
+	requests       boundedMap[Request]
+	configRequests boundedMap[Request]
+	pastJobs       boundedMap[PastJob]
+	forgottenUntil time.Duration
+
+	leases     map[string]map[taskRef]bool
+	usage      map[string]workerUsage
+	unfinished map[[2]string]int
+	waiting    map[demand]int
+	activeJobs map[string]bool
+	endedJobs  []string
+	timedTasks map[taskRef]bool
+	clonedJobs map[string]bool
+	changes    []Change
+	cache      queryCache
 	// byName has the workers in order; nil until it is asked for.
-	byName []Worker
-	busy   map[string]*busyness
+	workerList   []Worker
+	serviceLoads map[string]*cachedServiceLoad
 
-	decision uint64
-	decided  []Decision
-	entries  []Entry
+	lastDecisionIndex uint64
+	pendingDecisions  []Decision
+	auditEntries      []AuditEntry
 }
 
 // load sums the turns of a worker: their room, that of the turns that its report
 // did not count yet, and that of those being stopped.
-type load struct {
-	used, unheard, stopping Room
-	stops, fresh            int
-	classes                 map[string]int
+type workerUsage struct {
+	used, unreported, stopping Resources
+	stopCount, unstartedCount  int
+	slotsByClass               map[string]int
 }
 
-func (o load) with(job Job, i, by int) load {
-	t, room := job.Tasks[i].Turn, job.Spec.Tasks[i].Room
-	add := Room.Add
+func (o workerUsage) adjusted(job Job, i, by int) workerUsage {
+	t, room := job.Tasks[i].Lease, job.Spec.Tasks[i].Resources
+	add := Resources.Add
 	if by < 0 {
-		add = Room.Less
+		add = Resources.Sub
 	}
 	o.used = add(o.used, room)
 	if t.StartedAt == 0 || t.OrphanUntil > 0 {
-		o.unheard = add(o.unheard, room)
+		o.unreported = add(o.unreported, room)
 	}
-	if t.Stop != "" {
-		o.stopping, o.stops = add(o.stopping, room), o.stops+by
+	if t.StopReason != "" {
+		o.stopping, o.stopCount = add(o.stopping, room), o.stopCount+by
 	} else if t.StartedAt == 0 {
-		o.fresh += by
+		o.unstartedCount += by
 	}
-	if o.classes == nil {
-		o.classes = map[string]int{}
+	if o.slotsByClass == nil {
+		o.slotsByClass = map[string]int{}
 	}
-	o.classes[job.Spec.Class] += by * room.Slots
+	o.slotsByClass[job.Spec.Class] += by * room.Slots
 	return o
 }
 
 // lookups keeps what several questions at one position have in common.
-type lookups struct {
-	at       Position
-	meetable map[need]bool
+type queryCache struct {
+	position    LogPosition
+	satisfiable map[demand]bool
 }
 
-func (l *Ledger) cached() lookups {
-	if l.lookups.at != l.position || l.lookups.meetable == nil {
-		l.lookups = lookups{l.position, map[need]bool{}}
+func (l *Store) currentCache() queryCache {
+	if l.cache.position != l.position || l.cache.satisfiable == nil {
+		l.cache = queryCache{l.position, map[demand]bool{}}
 	}
-	return l.lookups
+	return l.cache
 }
 
-func New() *Ledger {
-	l := &Ledger{plan: plan.Default(), next: 1}
-	l.rules = l.plan.Compile()
-	l.jobs, l.workers, l.emptied = map[string]Job{}, map[string]Worker{}, map[string]bool{}
-	l.duties, l.daemons = map[string]Duty{}, map[string]Daemon{}
-	l.requests.byKey, l.plans.byKey, l.past.byKey = map[string]Request{}, map[string]Request{}, map[string]Past{}
-	l.orders = map[string]uint64{}
-	l.cloned = map[string]bool{}
-	l.index()
+func New() *Store {
+	l := &Store{config: plan.Default(), nextTaskNumber: 1}
+	l.policies = l.config.Compile()
+	l.jobs, l.workers, l.drainedZones = map[string]Job{}, map[string]Worker{}, map[string]bool{}
+	l.leaderships, l.schedulers = map[string]Leadership{}, map[string]Scheduler{}
+	l.requests.byKey, l.configRequests.byKey, l.pastJobs.byKey = map[string]Request{}, map[string]Request{}, map[string]PastJob{}
+	l.zoneOrders = map[string]uint64{}
+	l.clonedJobs = map[string]bool{}
+	l.rebuildIndexes()
 	return l
 }
 
 // index rebuilds what is derived from the records.
-func (l *Ledger) index() {
-	l.turns, l.inbox, l.loads = map[string]map[ref]bool{}, map[[2]string]int{}, map[string]load{}
-	l.waiting, l.active, l.timed = map[need]int{}, map[string]bool{}, map[ref]bool{}
-	l.over, l.busy = nil, map[string]*busyness{}
-	l.requests.sort(func(r Request) time.Duration { return r.At })
-	l.plans.sort(func(r Request) time.Duration { return r.At })
-	l.past.sort(func(p Past) time.Duration { return p.EndedAt })
+func (l *Store) rebuildIndexes() {
+	l.leases, l.unfinished, l.usage = map[string]map[taskRef]bool{}, map[[2]string]int{}, map[string]workerUsage{}
+	l.waiting, l.activeJobs, l.timedTasks = map[demand]int{}, map[string]bool{}, map[taskRef]bool{}
+	l.endedJobs, l.serviceLoads = nil, map[string]*cachedServiceLoad{}
+	l.requests.sortByAge(func(r Request) time.Duration { return r.AnsweredAt })
+	l.configRequests.sortByAge(func(r Request) time.Duration { return r.AnsweredAt })
+	l.pastJobs.sortByAge(func(p PastJob) time.Duration { return p.EndedAt })
 	for id, job := range l.jobs {
-		if !ended(job) {
-			l.active[id] = true
+		if !jobEnded(job) {
+			l.activeJobs[id] = true
 		} else {
-			l.over = append(l.over, id)
+			l.endedJobs = append(l.endedJobs, id)
 		}
 		for i := range job.Tasks {
-			l.count(job, i, 1)
+			l.countTask(job, i, 1)
 		}
 	}
-	slices.SortFunc(l.over, func(a, b string) int {
+	slices.SortFunc(l.endedJobs, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.jobs[a].EndedAt, l.jobs[b].EndedAt), cmp.Compare(a, b))
 	})
-	l.changes = append(l.changes, Changed{All: true})
+	l.changes = append(l.changes, Change{All: true})
 }
 
-func ended(job Job) bool {
+func jobEnded(job Job) bool {
 	return job.State == Done || job.State == Failed || job.State == Cancelled
 }
 
-func (l *Ledger) count(job Job, i, by int) {
+func (l *Store) countTask(job Job, i, by int) {
 	t := job.Tasks[i]
 	class := [2]string{job.Spec.Service, job.Spec.Class}
-	if !t.Closed() {
-		l.inbox[class] += by
+	if !t.Terminal() {
+		l.unfinished[class] += by
 	}
-	at := ref{job.Spec.ID, i}
+	at := taskRef{job.Spec.ID, i}
 	if t.State == Waiting && t.DueAt > 0 && by > 0 {
-		l.timed[at] = true
+		l.timedTasks[at] = true
 	} else {
-		delete(l.timed, at)
+		delete(l.timedTasks, at)
 	}
-	if t.Turn.Held() {
-		if l.turns[t.Turn.Worker] == nil {
-			l.turns[t.Turn.Worker] = map[ref]bool{}
+	if t.Lease.Held() {
+		if l.leases[t.Lease.Worker] == nil {
+			l.leases[t.Lease.Worker] = map[taskRef]bool{}
 		}
 		if by > 0 {
-			l.turns[t.Turn.Worker][at] = true
+			l.leases[t.Lease.Worker][at] = true
 		} else {
-			delete(l.turns[t.Turn.Worker], at)
+			delete(l.leases[t.Lease.Worker], at)
 		}
-		l.loads[t.Turn.Worker] = l.loads[t.Turn.Worker].with(job, i, by)
-		l.recount(t.Turn.Worker, job.Spec.Class, by*job.Spec.Tasks[i].Room.Slots)
-	} else if t.State == Open {
-		n := l.needOf(job, i)
+		l.usage[t.Lease.Worker] = l.usage[t.Lease.Worker].adjusted(job, i, by)
+		l.updateServiceLoad(t.Lease.Worker, job.Spec.Class, by*job.Spec.Tasks[i].Resources.Slots)
+	} else if t.State == Ready {
+		n := l.demandOf(job, i)
 		if l.waiting[n] += by; l.waiting[n] == 0 {
 			delete(l.waiting, n)
 		}
 	}
 }
 
-func (l *Ledger) needOf(job Job, i int) need {
+func (l *Store) demandOf(job Job, i int) demand {
 	spec := job.Spec.Tasks[i]
-	n := need{job.Spec.Service, job.Spec.Class, strings.Join(spec.Labels, ","), spec.Room, 0}
+	n := demand{job.Spec.Service, job.Spec.Class, strings.Join(spec.Labels, ","), spec.Resources, 0}
 	if spec.Gang != "" && len(job.Spec.Steps) > 0 {
-		n.gang = job.Spec.Steps[spec.Step].Count * spec.Room.Slots
+		n.gangSlots = job.Spec.Steps[spec.Step].Count * spec.Resources.Slots
 	} else if spec.Gang != "" {
 		for _, other := range job.Spec.Tasks {
 			if other.Gang == spec.Gang {
-				n.gang += other.Room.Slots
+				n.gangSlots += other.Resources.Slots
 			}
 		}
 	}
@@ -208,26 +208,26 @@
 // setTask is the only way a task changes; it keeps the counts right. The job's
 // task slice is copied once for a command, so that copies handed out before stay
 // as they were.
-func (l *Ledger) setTask(at ref, t Task) {
-	l.lookups = lookups{}
+func (l *Store) setTask(at taskRef, t Task) {
+	l.cache = queryCache{}
 	job := l.jobs[at.job]
-	l.count(job, at.task, -1)
-	if !l.cloned[at.job] {
-		job.Tasks, l.cloned[at.job] = slices.Clone(job.Tasks), true
+	l.countTask(job, at.index, -1)
+	if !l.clonedJobs[at.job] {
+		job.Tasks, l.clonedJobs[at.job] = slices.Clone(job.Tasks), true
 	}
-	job.Tasks[at.task] = t
+	job.Tasks[at.index] = t
 	l.jobs[at.job] = job
-	l.count(job, at.task, 1)
-	l.changes = append(l.changes, Changed{Job: at.job, Task: at.task})
+	l.countTask(job, at.index, 1)
+	l.changes = append(l.changes, Change{Job: at.job, Task: at.index})
 }
 
-func (l *Ledger) Position() Position { return l.position }
-func (l *Ledger) At() time.Duration  { return l.at }
-func (l *Ledger) Plan() plan.Plan    { return l.plan }
-func (l *Ledger) Rules() plan.Rules  { return l.rules }
+func (l *Store) Position() LogPosition           { return l.position }
+func (l *Store) Now() time.Duration              { return l.now }
+func (l *Store) Config() plan.Config             { return l.config }
+func (l *Store) Policies() plan.CompiledPolicies { return l.policies }
 
 // TakeChanges hands over what changed since it was last called.
-func (l *Ledger) TakeChanges() []Changed {
+func (l *Store) TakeChanges() []Change {
 	out := l.changes
 	l.changes = nil
 	return out
@@ -235,289 +235,289 @@
 
 // Apply makes one change, or bounces it leaving everything as it was. It never
 // looks at a clock: cmd.At is ledger time, and never runs backwards.
-func (l *Ledger) Apply(cmd Command) Answer {
-	l.position = cmd.Position
-	l.cloned = map[string]bool{}
+func (l *Store) Apply(cmd Command) Result {
+	l.position = cmd.LogPosition
+	l.clonedJobs = map[string]bool{}
 	defer func() {
-		l.lookups = lookups{}
-		l.enter()
+		l.cache = queryCache{}
+		l.closeAuditEntry()
 	}()
-	l.at = max(l.at, cmd.At)
+	l.now = max(l.now, cmd.Time)
 	switch cmd.Kind {
-	case KindAccept:
-		return l.accept(cmd)
-	case KindCancel:
-		return l.cancel(cmd)
-	case KindBeat:
-		return l.beat(cmd.Beat)
-	case KindGrant:
-		return l.grant(cmd.Grant)
-	case KindPushOut:
-		return l.pushOut(cmd.Grant)
-	case KindPlan:
-		return l.once(cmd, func() Answer { return l.change(cmd.Plan) })
-	case KindSite:
-		return l.once(cmd, func() Answer { return l.site(cmd) })
-	case KindDrain:
-		return l.once(cmd, func() Answer { return l.drain(cmd.Name, cmd.On) })
-	case KindGone:
-		return l.once(cmd, func() Answer { return l.gone(cmd.Name) })
-	case KindHello:
-		return l.hello(cmd.Hello)
-	case KindMove:
-		return l.once(cmd, func() Answer { return l.move(cmd.Name, cmd.Hello.For) })
+	case KindAcceptJob:
+		return l.acceptJob(cmd)
+	case KindCancelJob:
+		return l.cancelJob(cmd)
+	case KindHeartbeat:
+		return l.heartbeat(cmd.Heartbeat)
+	case KindGrantLeases:
+		return l.grantLeases(cmd.Grant)
+	case KindPreempt:
+		return l.preempt(cmd.Grant)
+	case KindChangeConfig:
+		return l.applyOnce(cmd, func() Result { return l.changeConfig(cmd.ConfigChange) })
+	case KindDrainZone:
+		return l.applyOnce(cmd, func() Result { return l.drainZone(cmd) })
+	case KindDrainWorker:
+		return l.applyOnce(cmd, func() Result { return l.drainWorker(cmd.Name, cmd.Drain) })
+	case KindConfirmWorkerDead:
+		return l.applyOnce(cmd, func() Result { return l.confirmWorkerDead(cmd.Name) })
+	case KindSchedulerHeartbeat:
+		return l.schedulerHeartbeat(cmd.SchedulerHeartbeat)
+	case KindTransferLeadership:
+		return l.applyOnce(cmd, func() Result { return l.transferLeadership(cmd.Name, cmd.SchedulerHeartbeat.Candidate) })
 	case KindTick:
 		return l.tick()
-	case KindTake:
-		return l.take(cmd.Name, cmd.Hello)
-	case KindRenew:
-		return l.renew(cmd.Renew)
+	case KindTakeLeadership:
+		return l.takeLeadership(cmd.Name, cmd.SchedulerHeartbeat)
+	case KindRenewWorkers:
+		return l.renewWorkers(cmd.Renewals)
 	}
-	return bounce(code.Malformed, "unknown command %q", cmd.Kind)
+	return reject(code.Malformed, "unknown command %q", cmd.Kind)
 }
 
 // resolve finds the class of a job that names host and path.
-func (l *Ledger) resolve(host, path string) (plan.Entry, Answer) {
-	if l.plan.Sequence == 0 {
-		a := bounce(code.NoPlan, "there is no plan yet")
+func (l *Store) resolveRoute(host, path string) (plan.Route, Result) {
+	if l.config.Version == 0 {
+		a := reject(code.NoConfig, "there is no plan yet")
 		a.RetryAfter = time.Second
-		return plan.Entry{}, a
+		return plan.Route{}, a
 	}
-	e, ok := l.plan.Find(host, path)
+	e, ok := l.config.FindRoute(host, path)
 	if !ok {
-		return e, bounce(code.NoEntry, "the plan has no entry for %s%s", host, path)
+		return e, reject(code.NoRoute, "the plan has no entry for %s%s", host, path)
 	}
-	return e, Answer{Code: code.OK}
+	return e, Result{Code: code.OK}
 }
 
-func (l *Ledger) brief(cmd Command, c code.Code, job Job) Answer {
-	if cmd.Brief {
-		job = job.Brief()
+func (l *Store) jobResult(cmd Command, c code.Code, job Job) Result {
+	if cmd.Summary {
+		job = job.Summary()
 	}
-	return Answer{Code: c, Job: job}
+	return Result{Code: c, Job: job}
 }
 
-func (l *Ledger) accept(cmd Command) Answer {
-	spec := cmd.Accept
+func (l *Store) acceptJob(cmd Command) Result {
+	spec := cmd.Job
 	if spec.Host != "" {
-		e, a := l.entryOf(spec)
-		if !a.Code.Good() {
+		e, a := l.routeOf(spec)
+		if !a.Code.IsSuccess() {
 			return a
 		}
 		spec.Service, spec.Class = e.Service, e.Class
 	}
-	sum := digest(Normal(spec))
+	sum := digest(Normalize(spec))
 	if old, ok := l.jobs[spec.ID]; ok {
 		if old.Digest != sum {
-			return bounce(code.OtherContent, "job %s was accepted before with other content", spec.ID)
+			return reject(code.JobConflict, "job %s was accepted before with other content", spec.ID)
 		}
-		return l.brief(cmd, code.Same, old)
+		return l.jobResult(cmd, code.AlreadyDone, old)
 	}
-	if old, ok := l.past.byKey[spec.ID]; ok {
+	if old, ok := l.pastJobs.byKey[spec.ID]; ok {
 		if old.Digest != sum {
-			return bounce(code.OtherContent, "job %s was accepted before with other content", spec.ID)
+			return reject(code.JobConflict, "job %s was accepted before with other content", spec.ID)
 		}
-		job, _ := l.Past(spec.ID)
-		return Answer{Code: code.Same, Job: job}
+		job, _ := l.PastJob(spec.ID)
+		return Result{Code: code.AlreadyDone, Job: job}
 	}
-	spec = l.filled(Normal(spec))
-	if a := l.Check(spec); !a.Code.Good() {
+	spec = l.withClassDefaults(Normalize(spec))
+	if a := l.ValidateJob(spec); !a.Code.IsSuccess() {
 		return a
 	}
-	spec.Tasks = placed(spec)
-	job := Job{Spec: spec, Digest: sum, First: l.next, State: Waiting, AcceptedAt: l.at}
-	job.Tasks = fresh(job)
+	spec.Tasks = resolveDependencies(spec)
+	job := Job{Spec: spec, Digest: sum, FirstTaskNumber: l.nextTaskNumber, State: Waiting, AcceptedAt: l.now}
+	job.Tasks = newTasks(job)
 	for i, t := range spec.Tasks {
 		if spec.Repeat.Count > 0 {
-			due := spec.Repeat.FirstAt.Add(time.Duration(t.Time) * spec.Repeat.Every.Duration)
-			job.Tasks[i].DueAt = max(1, l.at+due.Sub(cmd.Wall))
+			due := spec.Repeat.FirstAt.Add(time.Duration(t.Repetition) * spec.Repeat.Every.Duration)
+			job.Tasks[i].DueAt = max(1, l.now+due.Sub(cmd.WallTime))
 		}
 	}
-	l.next += uint64(len(spec.Tasks))
-	l.jobs[spec.ID], l.active[spec.ID] = job, true
-	l.decide(Decision{Kind: "accept", Job: spec.ID, Digest: job.Digest})
+	l.nextTaskNumber += uint64(len(spec.Tasks))
+	l.jobs[spec.ID], l.activeJobs[spec.ID] = job, true
+	l.recordDecision(Decision{Kind: "accept", Job: spec.ID, Digest: job.Digest})
 	for i := range job.Tasks {
-		l.count(job, i, 1)
+		l.countTask(job, i, 1)
 	}
-	l.release(spec.ID)
-	return l.brief(cmd, code.OK, l.jobs[spec.ID])
+	l.makeTasksReady(spec.ID)
+	return l.jobResult(cmd, code.OK, l.jobs[spec.ID])
 }
 
 // entryOf gives service and class of a job by its entry. One that was accepted
 // before keeps its own, also once its entry leads elsewhere: it is the same job.
-func (l *Ledger) entryOf(spec JobSpec) (plan.Entry, Answer) {
-	e, a := l.resolve(spec.Host, spec.Path)
+func (l *Store) routeOf(spec JobSpec) (plan.Route, Result) {
+	e, a := l.resolveRoute(spec.Host, spec.Path)
 	if old, ok := l.jobs[spec.ID]; ok {
 		e.Service, e.Class = old.Spec.Service, old.Spec.Class
-	} else if old, ok := l.past.byKey[spec.ID]; ok {
+	} else if old, ok := l.pastJobs.byKey[spec.ID]; ok {
 		e.Service, e.Class = old.Service, old.Class
 	}
 	return e, a
 }
 
 // filled takes what the class says where steps say nothing.
-func (l *Ledger) filled(spec JobSpec) JobSpec {
+func (l *Store) withClassDefaults(spec JobSpec) JobSpec {
 	spec.Steps = slices.Clone(spec.Steps)
 	for i := range spec.Steps {
-		if spec.Steps[i].AllowedDefects == 0 {
-			spec.Steps[i].AllowedDefects = cmp.Or(l.plan.Services[spec.Service].Classes[spec.Class].AllowedDefects, 3)
+		if spec.Steps[i].MaxFailures == 0 {
+			spec.Steps[i].MaxFailures = cmp.Or(l.config.Services[spec.Service].Classes[spec.Class].MaxFailures, 3)
 		}
 	}
 	return spec
 }
 
 // fresh is how the tasks of a job begin.
-func fresh(job Job) []Task {
-	levels := levelsOf(job.Spec)
+func newTasks(job Job) []Task {
+	levels := taskLevels(job.Spec)
 	out := make([]Task, len(job.Spec.Tasks))
 	for i := range out {
-		out[i] = Task{Number: job.First + uint64(i), State: Waiting, Level: levels[i]}
+		out[i] = Task{Number: job.FirstTaskNumber + uint64(i), State: Waiting, Level: levels[i]}
 	}
 	return out
 }
 
 // release opens every task whose time has come and whose dependencies are all
 // done, and ends the job once nothing of it is open or runs.
-func (l *Ledger) release(id string) {
+func (l *Store) makeTasksReady(id string) {
 	job := l.jobs[id]
 	type answer struct{ known, ready bool }
 	steps := map[*int]answer{}
 	for i, spec := range job.Spec.Tasks {
 		t := job.Tasks[i]
-		if t.State != Waiting || job.Ending != "" || t.DueAt > l.at {
+		if t.State != Waiting || job.EndingState != "" || t.DueAt > l.now {
 			continue
 		}
 		ready := true
-		if len(spec.Needs) > 0 {
-			known := steps[&spec.Needs[0]]
+		if len(spec.Dependencies) > 0 {
+			known := steps[&spec.Dependencies[0]]
 			if !known.known {
-				known = answer{true, !slices.ContainsFunc(spec.Needs, func(j int) bool { return job.Tasks[j].State != Done })}
-				steps[&spec.Needs[0]] = known
+				known = answer{true, !slices.ContainsFunc(spec.Dependencies, func(j int) bool { return job.Tasks[j].State != Done })}
+				steps[&spec.Dependencies[0]] = known
 			}
 			ready = known.ready
 		}
 		if ready {
-			t.State, t.ReleasedAt = Open, l.at
-			l.setTask(ref{id, i}, t)
+			t.State, t.ReadyAt = Ready, l.now
+			l.setTask(taskRef{id, i}, t)
 		}
 	}
-	l.settle(id)
+	l.updateJobState(id)
 }
 
-func (l *Ledger) settle(id string) {
+func (l *Store) updateJobState(id string) {
 	job := l.jobs[id]
-	if ended(job) {
+	if jobEnded(job) {
 		return
 	}
-	state := Done
+	stateOf := Done
 	for _, t := range job.Tasks {
-		if !t.Closed() || t.Turn.Held() {
-			state = Waiting
+		if !t.Terminal() || t.Lease.Held() {
+			stateOf = Waiting
 			for _, other := range job.Tasks {
-				if other.Turn.StartedAt > 0 || other.State == Done {
-					state = Running
+				if other.Lease.StartedAt > 0 || other.State == Done {
+					stateOf = Running
 				}
 			}
 			break
 		}
 		if t.State != Done {
-			state = job.Ending
+			stateOf = job.EndingState
 		}
 	}
-	if state != job.State {
-		job.State = state
-		if ended(job) {
-			l.decide(Decision{Kind: "over", Job: id, Good: state == Done})
-			job.EndedAt = l.at
-			delete(l.active, id)
-			l.over = append(l.over, id)
+	if stateOf != job.State {
+		job.State = stateOf
+		if jobEnded(job) {
+			l.recordDecision(Decision{Kind: "over", Job: id, Succeeded: stateOf == Done})
+			job.EndedAt = l.now
+			delete(l.activeJobs, id)
+			l.endedJobs = append(l.endedJobs, id)
 		}
 		l.jobs[id] = job
-		l.changes = append(l.changes, Changed{Job: id, Task: -1})
+		l.changes = append(l.changes, Change{Job: id, Task: -1})
 	}
 }
 
 // finish closes what is left of a job that failed or was cancelled.
-func (l *Ledger) finish(id, ending, why string) {
+func (l *Store) endJob(id, ending, why string) {
 	job := l.jobs[id]
-	if job.Ending != "" || ended(job) {
+	if job.EndingState != "" || jobEnded(job) {
 		return
 	}
-	job.Ending, job.Why = ending, why
+	job.EndingState, job.Reason = ending, why
 	l.jobs[id] = job
 	for i, t := range job.Tasks {
-		if t.Closed() {
+		if t.Terminal() {
 			continue
 		}
-		t.State, t.EndedAt, t.Why = Cancelled, l.at, why
-		if t.Turn.Held() && t.Turn.Stop == "" {
-			t.Turn.Stop = why
+		t.State, t.EndedAt, t.Reason = Cancelled, l.now, why
+		if t.Lease.Held() && t.Lease.StopReason == "" {
+			t.Lease.StopReason = why
 		}
-		l.setTask(ref{id, i}, t)
+		l.setTask(taskRef{id, i}, t)
 	}
-	l.settle(id)
+	l.updateJobState(id)
 }
 
-func (l *Ledger) cancel(cmd Command) Answer {
+func (l *Store) cancelJob(cmd Command) Result {
 	id := cmd.Name
 	if cmd.Host != "" {
-		if _, a := l.resolve(cmd.Host, cmd.Path); !a.Code.Good() {
+		if _, a := l.resolveRoute(cmd.Host, cmd.Path); !a.Code.IsSuccess() {
 			return a
 		}
 	}
-	if past, ok := l.Past(id); ok {
-		return Answer{Code: code.Same, Job: past}
+	if past, ok := l.PastJob(id); ok {
+		return Result{Code: code.AlreadyDone, Job: past}
 	}
 	job, ok := l.jobs[id]
 	if !ok {
-		return l.Unknown(id)
+		return l.RejectUnknownJob(id)
 	}
-	if ended(job) || job.Ending != "" {
-		return l.brief(cmd, code.Same, job)
+	if jobEnded(job) || job.EndingState != "" {
+		return l.jobResult(cmd, code.AlreadyDone, job)
 	}
-	l.decide(Decision{Kind: "cancel", Job: id})
-	l.finish(id, Cancelled, "cancelled by the caller")
-	return l.brief(cmd, code.OK, l.jobs[id])
+	l.recordDecision(Decision{Kind: "cancel", Job: id})
+	l.endJob(id, Cancelled, "cancelled by the caller")
+	return l.jobResult(cmd, code.OK, l.jobs[id])
 }
 
-func (l *Ledger) change(c PlanChange) Answer {
-	if !c.Forced && c.Base != l.plan.Sequence {
-		a := bounce(code.StalePlan, "the plan is at sequence %d, not %d", l.plan.Sequence, c.Base)
-		a.Sequence = l.plan.Sequence
+func (l *Store) changeConfig(c ConfigChange) Result {
+	if !c.Forced && c.BaseVersion != l.config.Version {
+		a := reject(code.StaleConfig, "the plan is at sequence %d, not %d", l.config.Version, c.BaseVersion)
+		a.ConfigVersion = l.config.Version
 		return a
 	}
-	var next plan.Plan
-	var faults []plan.Fault
+	var next plan.Config
+	var faults []plan.Violation
 	if c.Patch {
-		next, faults = plan.Merge(l.plan, c.Body)
+		next, faults = plan.ApplyPatch(l.config, c.Body)
 	} else {
 		next, faults = plan.Parse(c.Body)
 	}
 	if len(faults) > 0 {
-		a := bounce(faults[0].Code, "%s: %s", faults[0].Place, faults[0].Why)
-		a.Faults, a.Sequence = faults, l.plan.Sequence
+		a := reject(faults[0].Code, "%s: %s", faults[0].Path, faults[0].Reason)
+		a.Violations, a.ConfigVersion = faults, l.config.Version
 		return a
 	}
-	next.Sequence = l.plan.Sequence + 1
-	if c.Sequence > 0 {
-		if c.Sequence <= l.plan.Sequence {
-			return bounce(code.BadPlan, "/sequence: %d is not above %d", c.Sequence, l.plan.Sequence)
+	next.Version = l.config.Version + 1
+	if c.Version > 0 {
+		if c.Version <= l.config.Version {
+			return reject(code.InvalidConfig, "/sequence: %d is not above %d", c.Version, l.config.Version)
 		}
-		next.Sequence = c.Sequence
+		next.Version = c.Version
 	}
 	// Where tasks may go does not hang on the entries, nor on what classes come and go.
-	same := reflect.DeepEqual(l.plan.Policies, next.Policies) && l.plan.Limits == next.Limits && kept(l.plan, next)
-	l.plan, l.rules = next, next.Compile()
-	clear(l.busy)
-	l.decide(Decision{Kind: "plan", Plan: next.Sequence, Digest: digest(next)})
+	same := reflect.DeepEqual(l.config.Policies, next.Policies) && l.config.Limits == next.Limits && classesUnchanged(l.config, next)
+	l.config, l.policies = next, next.Compile()
+	clear(l.serviceLoads)
+	l.recordDecision(Decision{Kind: "plan", ConfigVersion: next.Version, Digest: digest(next)})
 	if !same {
-		l.changes = append(l.changes, Changed{All: true})
+		l.changes = append(l.changes, Change{All: true})
 	}
-	return Answer{Code: code.OK, Sequence: next.Sequence}
+	return Result{Code: code.OK, ConfigVersion: next.Version}
 }
 
 // kept says whether every class of a plan stands in the next as it was.
-func kept(old, next plan.Plan) bool {
+func classesUnchanged(old, next plan.Config) bool {
 	for name, service := range old.Services {
 		for class, was := range service.Classes {
 			if now, ok := next.Services[name].Classes[class]; !ok || now.Priority != was.Priority || now.Quick != was.Quick {
@@ -529,193 +529,193 @@
 }
 
 // site empties a site or takes that back, unless a later order says otherwise.
-func (l *Ledger) site(cmd Command) Answer {
-	name, on := cmd.Name, cmd.On
-	if known := l.sites(); !slices.Contains(known, name) {
-		if l.plan.Sequence == 0 {
-			a := bounce(code.NoPlan, "there is no plan yet, and nobody has been heard of in site %q", name)
+func (l *Store) drainZone(cmd Command) Result {
+	name, on := cmd.Name, cmd.Drain
+	if known := l.knownZones(); !slices.Contains(known, name) {
+		if l.config.Version == 0 {
+			a := reject(code.NoConfig, "there is no plan yet, and nobody has been heard of in site %q", name)
 			a.RetryAfter = time.Second
 			return a
 		}
-		return unknown("site", name, known)
+		return rejectUnknownName("site", name, known)
 	}
-	if cmd.MaxAge > 0 && l.at-cmd.Asked > cmd.MaxAge {
-		return bounce(code.TooLate, "asked %s ago; an order older than %s is not carried out", l.at-cmd.Asked, cmd.MaxAge)
+	if cmd.MaxAge > 0 && l.now-cmd.RequestedAt > cmd.MaxAge {
+		return reject(code.RequestExpired, "asked %s ago; an order older than %s is not carried out", l.now-cmd.RequestedAt, cmd.MaxAge)
 	}
-	if cmd.MaxAge > 0 && l.orders[name] > cmd.Proven {
-		if l.emptied[name] != on {
-			return bounce(code.TooLate, "a later order was carried out for site %q", name)
+	if cmd.MaxAge > 0 && l.zoneOrders[name] > cmd.ConfirmedIndex {
+		if l.drainedZones[name] != on {
+			return reject(code.RequestExpired, "a later order was carried out for site %q", name)
 		}
-		return Answer{Code: code.Same}
+		return Result{Code: code.AlreadyDone}
 	}
-	l.orders[name] = l.position.Sequence
-	clear(l.busy)
-	l.emptied[name] = on
+	l.zoneOrders[name] = l.position.Index
+	clear(l.serviceLoads)
+	l.drainedZones[name] = on
 	if !on {
-		delete(l.emptied, name)
+		delete(l.drainedZones, name)
 	}
-	l.decide(Decision{Kind: map[bool]string{true: "empty", false: "refill"}[on], Name: name})
+	l.recordDecision(Decision{Kind: map[bool]string{true: "empty", false: "refill"}[on], Name: name})
 	for _, id := range slices.Sorted(maps.Keys(l.workers)) {
-		if w := l.workers[id]; on && w.Site == name {
-			l.stopAll(id, "the site is emptied")
+		if w := l.workers[id]; on && w.Zone == name {
+			l.stopUnstarted(id, "the site is emptied")
 		}
 	}
-	l.changes = append(l.changes, Changed{All: true})
-	return Answer{Code: code.OK}
+	l.changes = append(l.changes, Change{All: true})
+	return Result{Code: code.OK}
 }
 
 // sites are those that the ledger has heard of, by a worker or a scheduler, and
 // those that are emptied.
-func (l *Ledger) sites() []string {
-	set := maps.Clone(l.emptied)
-	for _, name := range l.plan.Sites {
+func (l *Store) knownZones() []string {
+	set := maps.Clone(l.drainedZones)
+	for _, name := range l.config.Zones {
 		set[name] = true
 	}
 	for _, w := range l.workers {
-		set[w.Site] = true
+		set[w.Zone] = true
 	}
-	for _, d := range l.daemons {
-		set[d.Site] = true
+	for _, d := range l.schedulers {
+		set[d.Zone] = true
 	}
 	return slices.Sorted(maps.Keys(set))
 }
 
 // unknown is the answer to a name that does not exist; it gives those that do.
-func unknown(what, name string, known []string) Answer {
+func rejectUnknownName(what, name string, known []string) Result {
 	text := strings.Join(known[:min(20, len(known))], ", ")
 	if len(known) > 20 {
 		text += fmt.Sprintf(" and %d more", len(known)-20)
 	}
-	return bounce(code.UnknownName, "no %s %q; known are: %s", what, name, text)
+	return reject(code.UnknownName, "no %s %q; known are: %s", what, name, text)
 }
 
-func (l *Ledger) drain(name string, on bool) Answer {
+func (l *Store) drainWorker(name string, on bool) Result {
 	w, ok := l.workers[name]
 	if !ok {
-		return unknown("worker", name, slices.Sorted(maps.Keys(l.workers)))
+		return rejectUnknownName("worker", name, slices.Sorted(maps.Keys(l.workers)))
 	}
 	w.Drained = on
-	l.decide(Decision{Kind: map[bool]string{true: "drain", false: "undrain"}[on], Worker: name})
+	l.recordDecision(Decision{Kind: map[bool]string{true: "drain", false: "undrain"}[on], Worker: name})
 	l.setWorker(w)
-	l.changes = append(l.changes, Changed{Worker: name})
-	return Answer{Code: code.OK}
+	l.changes = append(l.changes, Change{Worker: name})
+	return Result{Code: code.OK}
 }
 
 // gone takes an operator's word that a silent worker will not come back: what is
 // held for it waits only until its attempts must have ended.
-func (l *Ledger) gone(name string) Answer {
+func (l *Store) confirmWorkerDead(name string) Result {
 	w, ok := l.workers[name]
 	switch {
 	case !ok:
-		return unknown("worker", name, slices.Sorted(maps.Keys(l.workers)))
+		return rejectUnknownName("worker", name, slices.Sorted(maps.Keys(l.workers)))
 	case l.Live(w):
-		return bounce(code.WorkerHeard, "worker %s was heard %s ago", name, l.at-w.SeenAt)
-	case w.Gone:
-		return Answer{Code: code.Same}
+		return reject(code.WorkerAlive, "worker %s was heard %s ago", name, l.now-w.LastSeenAt)
+	case w.ConfirmedDead:
+		return Result{Code: code.AlreadyDone}
 	}
-	w.Gone = true
-	l.decide(Decision{Kind: "gone", Worker: name})
+	w.ConfirmedDead = true
+	l.recordDecision(Decision{Kind: "gone", Worker: name})
 	l.setWorker(w)
-	l.changes = append(l.changes, Changed{Worker: name})
-	return Answer{Code: code.OK}
+	l.changes = append(l.changes, Change{Worker: name})
+	return Result{Code: code.OK}
 }
 
 // stopAll sends back what a worker has not started yet; what runs may end.
-func (l *Ledger) stopAll(worker, why string) {
-	for _, at := range l.turnsOn(worker) {
-		t := l.jobs[at.job].Tasks[at.task]
-		if t.Turn.StartedAt == 0 && t.Turn.Stop == "" {
-			t.Turn.Stop = why
+func (l *Store) stopUnstarted(worker, why string) {
+	for _, at := range l.leasedTasks(worker) {
+		t := l.jobs[at.job].Tasks[at.index]
+		if t.Lease.StartedAt == 0 && t.Lease.StopReason == "" {
+			t.Lease.StopReason = why
 			l.setTask(at, t)
 		}
 	}
 }
 
-func (l *Ledger) turnsOn(worker string) []ref {
-	out := make([]ref, 0, len(l.turns[worker]))
-	for at := range l.turns[worker] {
+func (l *Store) leasedTasks(worker string) []taskRef {
+	out := make([]taskRef, 0, len(l.leases[worker]))
+	for at := range l.leases[worker] {
 		out = append(out, at)
 	}
 	sort.Slice(out, func(i, j int) bool {
 		a, b := out[i], out[j]
-		return l.jobs[a.job].Tasks[a.task].Number < l.jobs[b.job].Tasks[b.task].Number
+		return l.jobs[a.job].Tasks[a.index].Number < l.jobs[b.job].Tasks[b.index].Number
 	})
 	return out
 }
 
 // liveFor is how long a daemon counts among those whose majority decides.
-const liveFor = 4 * time.Second
+const schedulerTimeout = 4 * time.Second
 
 // hello keeps a scheduler known and moves duties: the holder may name its
 // successor; when it is silent, a majority of the schedulers that are alive do.
-func (l *Ledger) hello(h Hello) Answer {
+func (l *Store) schedulerHeartbeat(h SchedulerHeartbeat) Result {
 	if h.Leaving {
-		delete(l.daemons, h.Daemon)
+		delete(l.schedulers, h.Scheduler)
 	} else {
-		l.daemons[h.Daemon] = Daemon{ID: h.Daemon, Site: h.Site, SeenAt: l.at}
+		l.schedulers[h.Scheduler] = Scheduler{ID: h.Scheduler, Zone: h.Zone, LastSeenAt: l.now}
 	}
-	for _, name := range slices.Sorted(maps.Keys(l.duties)) {
-		if d := l.duties[name]; d.Holder == h.Daemon && !h.Leaving {
-			d.SeenAt = l.at
-			l.duties[name] = d
+	for _, name := range slices.Sorted(maps.Keys(l.leaderships)) {
+		if d := l.leaderships[name]; d.Leader == h.Scheduler && !h.Leaving {
+			d.LastSeenAt = l.now
+			l.leaderships[name] = d
 		}
 	}
-	if h.Want == "" {
-		return Answer{Code: code.OK}
+	if h.Leadership == "" {
+		return Result{Code: code.OK}
 	}
-	d := l.duties[h.Want]
-	silent := d.Holder == "" || l.at-d.SeenAt > l.plan.Limits.Silent.Duration/2
-	passed := h.Pass && d.Holder == h.Daemon
+	d := l.leaderships[h.Leadership]
+	silent := d.Leader == "" || l.now-d.LastSeenAt > l.config.Limits.HeartbeatTimeout.Duration/2
+	passed := h.Transfer && d.Leader == h.Scheduler
 	if h.Epoch != d.Epoch || !silent && !passed {
-		return bounce(code.StaleEpoch, "duty %s is held by %s at epoch %d", h.Want, d.Holder, d.Epoch)
+		return reject(code.StaleEpoch, "duty %s is held by %s at epoch %d", h.Leadership, d.Leader, d.Epoch)
 	}
-	if _, ok := l.daemons[h.For]; !ok {
-		return bounce(code.UnknownName, "no scheduler %s has said hello", h.For)
+	if _, ok := l.schedulers[h.Candidate]; !ok {
+		return reject(code.UnknownName, "no scheduler %s has said hello", h.Candidate)
 	}
-	votes := map[string]string{h.Daemon: h.For}
+	votes := map[string]string{h.Scheduler: h.Candidate}
 	for voter, to := range d.Votes {
-		if voter != h.Daemon {
+		if voter != h.Scheduler {
 			votes[voter] = to
 		}
 	}
-	d.Name, d.Votes = h.Want, votes
-	if alive := l.Daemons(liveFor); passed || l.majority(votes, h.For, alive) {
-		l.decide(Decision{Kind: "duty", Name: h.Want, Worker: h.For})
-		d = Duty{Name: h.Want, Holder: h.For, Epoch: d.Epoch + 1, SeenAt: l.at}
-		l.changes = append(l.changes, Changed{All: true})
+	d.Name, d.Votes = h.Leadership, votes
+	if alive := l.Schedulers(schedulerTimeout); passed || l.hasMajority(votes, h.Candidate, alive) {
+		l.recordDecision(Decision{Kind: "duty", Name: h.Leadership, Worker: h.Candidate})
+		d = Leadership{Name: h.Leadership, Leader: h.Candidate, Epoch: d.Epoch + 1, LastSeenAt: l.now}
+		l.changes = append(l.changes, Change{All: true})
 	}
-	l.duties[h.Want] = d
-	return Answer{Code: code.OK}
+	l.leaderships[h.Leadership] = d
+	return Result{Code: code.OK}
 }
 
 // move hands a duty over because an operator asks for it.
-func (l *Ledger) move(name, to string) Answer {
-	d, known := l.duties[name]
+func (l *Store) transferLeadership(name, to string) Result {
+	d, known := l.leaderships[name]
 	if !known {
-		return unknown("duty", name, slices.Sorted(maps.Keys(l.duties)))
+		return rejectUnknownName("duty", name, slices.Sorted(maps.Keys(l.leaderships)))
 	}
-	if _, ok := l.daemons[to]; !ok {
-		return unknown("scheduler", to, slices.Sorted(maps.Keys(l.daemons)))
+	if _, ok := l.schedulers[to]; !ok {
+		return rejectUnknownName("scheduler", to, slices.Sorted(maps.Keys(l.schedulers)))
 	}
-	if d.Holder == to {
-		return Answer{Code: code.Same}
+	if d.Leader == to {
+		return Result{Code: code.AlreadyDone}
 	}
-	l.decide(Decision{Kind: "duty", Name: name, Worker: to})
-	l.duties[name] = Duty{Name: name, Holder: to, Epoch: d.Epoch + 1, SeenAt: l.at}
-	l.changes = append(l.changes, Changed{All: true})
-	return Answer{Code: code.OK}
+	l.recordDecision(Decision{Kind: "duty", Name: name, Worker: to})
+	l.leaderships[name] = Leadership{Name: name, Leader: to, Epoch: d.Epoch + 1, LastSeenAt: l.now}
+	l.changes = append(l.changes, Change{All: true})
+	return Result{Code: code.OK}
 }
 
 // take gives a duty to the primary's own dispatcher, which needs no vote: whoever
 // leads the ledger is fenced by its epoch already.
-func (l *Ledger) take(name string, h Hello) Answer {
-	l.daemons[h.Daemon] = Daemon{ID: h.Daemon, Site: h.Site, SeenAt: l.at}
-	l.decide(Decision{Kind: "duty", Name: name, Worker: h.Daemon})
-	l.duties[name] = Duty{Name: name, Holder: h.Daemon, Epoch: l.duties[name].Epoch + 1, SeenAt: l.at}
-	return Answer{Code: code.OK}
+func (l *Store) takeLeadership(name string, h SchedulerHeartbeat) Result {
+	l.schedulers[h.Scheduler] = Scheduler{ID: h.Scheduler, Zone: h.Zone, LastSeenAt: l.now}
+	l.recordDecision(Decision{Kind: "duty", Name: name, Worker: h.Scheduler})
+	l.leaderships[name] = Leadership{Name: name, Leader: h.Scheduler, Epoch: l.leaderships[name].Epoch + 1, LastSeenAt: l.now}
+	return Result{Code: code.OK}
 }
 
-func (l *Ledger) majority(votes map[string]string, to string, alive []Daemon) bool {
+func (l *Store) hasMajority(votes map[string]string, to string, alive []Scheduler) bool {
 	count := 0
 	for _, d := range alive {
 		if votes[d.ID] == to {
@@ -725,18 +725,18 @@
 	return count > len(alive)/2
 }
 
-type meta struct {
-	Position Position      `json:"position"`
-	At       time.Duration `json:"at"`
-	Next     uint64        `json:"next"`
-	Horizon  time.Duration `json:"horizon,omitempty"`
-	Decision uint64        `json:"decision,omitempty"`
+type metadata struct {
+	Position          LogPosition   `json:"position"`
+	Time              time.Duration `json:"at"`
+	NextTaskNumber    uint64        `json:"next"`
+	ForgottenUntil    time.Duration `json:"horizon,omitempty"`
+	LastDecisionIndex uint64        `json:"decision,omitempty"`
 	// Orders gives the sequence of the last order to each site.
-	Orders map[string]uint64 `json:"orders,omitempty"`
+	ZoneOrders map[string]uint64 `json:"orders,omitempty"`
 }
 
 // ForgetEntries is for a copy whose decisions nobody audits.
-func (l *Ledger) ForgetEntries() { l.entries = nil }
+func (l *Store) DiscardAuditEntries() { l.auditEntries = nil }
 
 // Records is the whole ledger, encoded.
-func (l *Ledger) Records() []machine.Record { return slices.Collect(l.Capture().Records()) }
+func (l *Store) Records() []machine.Record { return slices.Collect(l.Snapshot().Records()) }
