--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -20,39 +20,43 @@
 func TestGrantIsBouncedByOneRuleEach(t *testing.T) {
 	table := []struct {
 		name    string
-		prepare func(w *ledgertest.World)
+		prepare func(w *ledgertest.Fixture)
 		picks   []string
 		want    code.Code
 	}{
 		{"open task", nil, []string{"j/a@w1"}, code.OK},
 		{"whole gang", nil, []string{"g/x@w1", "g/y@w2"}, code.OK},
-		{"dependency open", nil, []string{"j/b@w1"}, code.NotReleased},
-		{"granted already", func(w *ledgertest.World) { w.Grant("j/a@w1") }, []string{"j/a@w2"}, code.TaskNotOpen},
-		{"ended well", func(w *ledgertest.World) { w.Finish("j/a@w1") }, []string{"j/a@w1"}, code.TaskNotOpen},
-		{"cancelled", func(w *ledgertest.World) { w.Must(ledger.Command{Kind: ledger.KindCancel, Name: "j"}) }, []string{"j/a@w1"}, code.JobCancelled},
-		{"other service", nil, []string{"j/a@p1"}, code.WrongWorker},
-		{"label missing", nil, []string{"l/a@w1"}, code.WrongWorker},
+		{"dependency open", nil, []string{"j/b@w1"}, code.DependenciesUnmet},
+		{"granted already", func(w *ledgertest.Fixture) { w.Grant("j/a@w1") }, []string{"j/a@w2"}, code.TaskNotPending},
+		{"ended well", func(w *ledgertest.Fixture) { w.FinishTask("j/a@w1") }, []string{"j/a@w1"}, code.TaskNotPending},
+		{"cancelled", func(w *ledgertest.Fixture) { w.MustApply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"}) }, []string{"j/a@w1"}, code.JobCancelled},
+		{"other service", nil, []string{"j/a@p1"}, code.WorkerMismatch},
+		{"label missing", nil, []string{"l/a@w1"}, code.WorkerMismatch},
 		{"label there", nil, []string{"l/a@w2"}, code.OK},
-		{"room too small", nil, []string{"big/a@w3"}, code.NoRoom},
-		{"room taken by a turn not yet listed", func(w *ledgertest.World) { w.Grant("j/a@w3") }, []string{"k/a@w3"}, code.NoRoom},
-		{"leaving", func(w *ledgertest.World) { w.Beat("w1", func(b *ledger.Beat) { b.Leaving = true }) }, []string{"j/a@w1"}, code.Draining},
-		{"drained", func(w *ledgertest.World) { w.Must(ledger.Command{Kind: ledger.KindDrain, Name: "w1", On: true}) }, []string{"j/a@w1"}, code.Draining},
-		{"site emptied", func(w *ledgertest.World) { w.Must(ledger.Command{Kind: ledger.KindSite, Name: "a", On: true}) }, []string{"j/a@w1"}, code.SiteEmptied},
-		{"site refilled", func(w *ledgertest.World) {
-			w.Must(ledger.Command{Kind: ledger.KindSite, Name: "a", On: true})
-			w.Must(ledger.Command{Kind: ledger.KindSite, Name: "a"})
+		{"room too small", nil, []string{"big/a@w3"}, code.InsufficientResources},
+		{"room taken by a turn not yet listed", func(w *ledgertest.Fixture) { w.Grant("j/a@w3") }, []string{"k/a@w3"}, code.InsufficientResources},
+		{"leaving", func(w *ledgertest.Fixture) { w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Leaving = true }) }, []string{"j/a@w1"}, code.Draining},
+		{"drained", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindDrainWorker, Name: "w1", Drain: true})
+		}, []string{"j/a@w1"}, code.Draining},
+		{"site emptied", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindDrainZone, Name: "a", Drain: true})
+		}, []string{"j/a@w1"}, code.ZoneDrained},
+		{"site refilled", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindDrainZone, Name: "a", Drain: true})
+			w.MustApply(ledger.Command{Kind: ledger.KindDrainZone, Name: "a"})
 		}, []string{"j/a@w1"}, code.OK},
-		{"worker silent", func(w *ledgertest.World) { w.Pass(31 * time.Second) }, []string{"j/a@w1"}, code.WorkerSilent},
-		{"duty passed on", func(w *ledgertest.World) {
-			w.Must(ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{Daemon: "s2", Site: "a"}})
-			w.Must(ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{Daemon: "s1", Want: "dispatch/a", Epoch: 1, Pass: true, For: "s2"}})
+		{"worker silent", func(w *ledgertest.Fixture) { w.Advance(31 * time.Second) }, []string{"j/a@w1"}, code.WorkerUnresponsive},
+		{"duty passed on", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "s2", Zone: "a"}})
+			w.MustApply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "s1", Leadership: "dispatch/a", Epoch: 1, Transfer: true, Candidate: "s2"}})
 		}, []string{"stale", "j/a@w1"}, code.StaleEpoch},
-		{"gang in part", nil, []string{"g/x@w1"}, code.GangBroken},
-		{"two jobs in one", nil, []string{"j/a@w1", "k/a@w1"}, code.GangBroken},
-		{"over share while the owner waits", nil, []string{"small/a@w1"}, code.OverShare},
-		{"borrowed while nobody waits", func(w *ledgertest.World) {
+		{"gang in part", nil, []string{"g/x@w1"}, code.GangIncomplete},
+		{"two jobs in one", nil, []string{"j/a@w1", "k/a@w1"}, code.GangIncomplete},
+		{"over share while the owner waits", nil, []string{"small/a@w1"}, code.QuotaExceeded},
+		{"borrowed while nobody waits", func(w *ledgertest.Fixture) {
 			for _, id := range []string{"j", "k", "l", "big", "g"} {
-				w.Do(ledger.Command{Kind: ledger.KindCancel, Name: id})
+				w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: id})
 			}
 		}, []string{"small/a@w1"}, code.OK},
 		{"unknown job", nil, []string{"nobody/a@w1"}, code.UnknownJob},
@@ -61,35 +65,35 @@
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Worker("w1", 4)
-			w.Worker("w2+ssd", 4)
-			w.Worker("w3", 1)
-			w.Worker("podcasts/p1", 4)
-			w.Job("j", "quick", "a", "b<a")
-			w.Job("k", "quick", "a")
-			w.Job("l", "quick", "a+ssd")
-			w.Job("big", "quick", "a:2")
-			w.Job("g", "batch", "x[g]", "y[g]")
-			w.Job("small", "small", "a")
+			w.AddWorker("w1", 4)
+			w.AddWorker("w2+ssd", 4)
+			w.AddWorker("w3", 1)
+			w.AddWorker("podcasts/p1", 4)
+			w.AcceptJob("j", "quick", "a", "b<a")
+			w.AcceptJob("k", "quick", "a")
+			w.AcceptJob("l", "quick", "a+ssd")
+			w.AcceptJob("big", "quick", "a:2")
+			w.AcceptJob("g", "batch", "x[g]", "y[g]")
+			w.AcceptJob("small", "small", "a")
 			if row.prepare != nil {
 				row.prepare(w)
 			}
 			var got code.Code
 			if row.picks[0] == "stale" {
-				got = w.Do(ledger.Command{Kind: ledger.KindGrant, Grant: ledger.Grant{Duty: ledgertest.Duty, Epoch: 1, Picks: []ledger.Pick{{Job: "j", Task: "a", Worker: "w1"}}}}).Code
+				got = w.Apply(ledger.Command{Kind: ledger.KindGrantLeases, Grant: ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{{Job: "j", Task: "a", Worker: "w1"}}}}).Code
 			} else {
 				got = w.Grant(row.picks...)
 			}
 			if got != row.want {
 				t.Errorf("got %v, want %v", got, row.want)
 			}
-			same(t, w.Ledger)
+			same(t, w.Store)
 		})
 	}
 }
 
 // same loads a copy from the records and compares it with the original.
-func same(t *testing.T, l *ledger.Ledger) {
+func same(t *testing.T, l *ledger.Store) {
 	t.Helper()
 	copied, err := ledger.Load(l.Records())
 	if err != nil {
@@ -99,7 +103,7 @@
 		t.Errorf("a copy differs: %s", diff)
 	}
 	for _, service := range []string{"tickets", "podcasts"} {
-		if diff := cmp.Diff(l.Busyness(service), copied.Busyness(service)); diff != "" {
+		if diff := cmp.Diff(l.ServiceLoad(service), copied.ServiceLoad(service)); diff != "" {
 			t.Errorf("busyness of %s: %s", service, diff)
 		}
 	}
@@ -111,30 +115,30 @@
 		spec ledger.JobSpec
 		want code.Code
 	}{
-		{"good", ledgertest.Spec("ok", "quick", "a", "b<a", "c<a,b"), code.OK},
-		{"circle", ledgertest.Spec("c", "quick", "a<b", "b<a"), code.BadJob},
-		{"self", ledgertest.Spec("c", "quick", "a<a"), code.BadJob},
-		{"circle through a gang", ledgertest.Spec("c", "quick", "a[g]", "b[g]<c", "c<a"), code.BadJob},
-		{"missing dependency", ledgertest.Spec("c", "quick", "a<z"), code.BadJob},
-		{"task twice", ledgertest.Spec("c", "quick", "a", "a"), code.BadJob},
-		{"no tasks", ledgertest.Spec("c", "quick"), code.BadJob},
-		{"gang member after another", ledgertest.Spec("c", "quick", "a[g]", "b[g]<a"), code.BadJob},
-		{"bad id", ledgertest.Spec("/", "quick", "a"), code.BadJob},
-		{"unknown class", ledgertest.Spec("c", "none", "a"), code.UnknownClass},
+		{"good", ledgertest.JobSpec("ok", "quick", "a", "b<a", "c<a,b"), code.OK},
+		{"circle", ledgertest.JobSpec("c", "quick", "a<b", "b<a"), code.InvalidJob},
+		{"self", ledgertest.JobSpec("c", "quick", "a<a"), code.InvalidJob},
+		{"circle through a gang", ledgertest.JobSpec("c", "quick", "a[g]", "b[g]<c", "c<a"), code.InvalidJob},
+		{"missing dependency", ledgertest.JobSpec("c", "quick", "a<z"), code.InvalidJob},
+		{"task twice", ledgertest.JobSpec("c", "quick", "a", "a"), code.InvalidJob},
+		{"no tasks", ledgertest.JobSpec("c", "quick"), code.InvalidJob},
+		{"gang member after another", ledgertest.JobSpec("c", "quick", "a[g]", "b[g]<a"), code.InvalidJob},
+		{"bad id", ledgertest.JobSpec("/", "quick", "a"), code.InvalidJob},
+		{"unknown class", ledgertest.JobSpec("c", "none", "a"), code.UnknownClass},
 		{"unknown service", ledger.JobSpec{ID: "c", Service: "none", Class: "quick", Tasks: []ledger.TaskSpec{{ID: "a"}}}, code.UnknownClass},
-		{"no worker so large", ledgertest.Spec("c", "quick", "a:9"), code.Impossible},
-		{"no such label", ledgertest.Spec("c", "quick", "a+moon"), code.Impossible},
-		{"absurd room", ledger.JobSpec{ID: "c", Service: "tickets", Class: "quick", Tasks: []ledger.TaskSpec{{ID: "a", Room: ledger.Room{Slots: 1, Cores: -1}}}}, code.BadJob},
-		{"inbox full", ledgertest.Spec("c", "small", "a", "b", "c", "d"), code.InboxFull},
+		{"no worker so large", ledgertest.JobSpec("c", "quick", "a:9"), code.Unsatisfiable},
+		{"no such label", ledgertest.JobSpec("c", "quick", "a+moon"), code.Unsatisfiable},
+		{"absurd room", ledger.JobSpec{ID: "c", Service: "tickets", Class: "quick", Tasks: []ledger.TaskSpec{{ID: "a", Resources: ledger.Resources{Slots: 1, Cores: -1}}}}, code.InvalidJob},
+		{"inbox full", ledgertest.JobSpec("c", "small", "a", "b", "c", "d"), code.QueueFull},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			a := w.Do(ledger.Command{Kind: ledger.KindAccept, Accept: row.spec})
+			a := w.Apply(ledger.Command{Kind: ledger.KindAcceptJob, Job: row.spec})
 			if a.Code != row.want {
-				t.Errorf("got %v %s, want %v", a.Code, a.Why, row.want)
+				t.Errorf("got %v %s, want %v", a.Code, a.Reason, row.want)
 			}
-			if a.Code == code.InboxFull && a.RetryAfter <= 0 {
+			if a.Code == code.QueueFull && a.RetryAfter <= 0 {
 				t.Error("a full inbox must say when to come back")
 			}
 		})
@@ -143,8 +147,8 @@
 
 func TestSameJobIsTheSameAndOtherContentIsBounced(t *testing.T) {
 	w := ledgertest.New(t)
-	first, again, other := w.Job("j", "quick", "a"), w.Job("j", "quick", "a"), w.Job("j", "quick", "b")
-	if first.Code != code.OK || again.Code != code.Same || other.Code != code.OtherContent {
+	first, again, other := w.AcceptJob("j", "quick", "a"), w.AcceptJob("j", "quick", "a"), w.AcceptJob("j", "quick", "b")
+	if first.Code != code.OK || again.Code != code.AlreadyDone || other.Code != code.JobConflict {
 		t.Errorf("got %v, %v, %v", first.Code, again.Code, other.Code)
 	}
 }
@@ -156,101 +160,101 @@
 		held            bool
 		defects, losses int
 	}
-	silent := func(w *ledgertest.World, d time.Duration) { w.Pass(d) }
+	silent := func(w *ledgertest.Fixture, d time.Duration) { w.Advance(d) }
 	table := []struct {
 		name string
-		do   func(w *ledgertest.World)
+		do   func(w *ledgertest.Fixture)
 		want want
 	}{
-		{"good end", func(w *ledgertest.World) { w.Finish("j/a@w1") }, want{ledger.Done, false, 0, 0}},
-		{"bad end counts once, though reported twice", func(w *ledgertest.World) {
-			a := w.Start("j/a@w1")
-			w.End("w1", ledger.End{Attempt: a})
-			w.Beat("w1", func(b *ledger.Beat) { b.Ended = []ledger.End{{Attempt: a}} })
-		}, want{ledger.Open, false, 1, 0}},
-		{"defects spent", func(w *ledgertest.World) {
+		{"good end", func(w *ledgertest.Fixture) { w.FinishTask("j/a@w1") }, want{ledger.Done, false, 0, 0}},
+		{"bad end counts once, though reported twice", func(w *ledgertest.Fixture) {
+			a := w.StartTask("j/a@w1")
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a})
+			w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Ended = []ledger.AttemptResult{{Attempt: a}} })
+		}, want{ledger.Ready, false, 1, 0}},
+		{"defects spent", func(w *ledgertest.Fixture) {
 			for range 3 {
-				w.End("w1", ledger.End{Attempt: w.Start("j/a@w1")})
+				w.EndAttempt("w1", ledger.AttemptResult{Attempt: w.StartTask("j/a@w1")})
 			}
 		}, want{ledger.Failed, false, 3, 0}},
-		{"a start that never came is no defect", func(w *ledgertest.World) {
+		{"a start that never came is no defect", func(w *ledgertest.Fixture) {
 			w.Grant("j/a@w1")
-			w.Beat("w1", nil)
-			w.Beat("w1", nil)
-		}, want{ledger.Open, false, 0, 0}},
-		{"one beat after the grant may still bring the start", func(w *ledgertest.World) {
+			w.Heartbeat("w1", nil)
+			w.Heartbeat("w1", nil)
+		}, want{ledger.Ready, false, 0, 0}},
+		{"one beat after the grant may still bring the start", func(w *ledgertest.Fixture) {
 			w.Grant("j/a@w1")
-			w.Beat("w1", nil)
-		}, want{ledger.Open, true, 0, 0}},
-		{"silent before the cutoff and margin", func(w *ledgertest.World) { w.Start("j/a@w1"); silent(w, 6900*time.Millisecond) }, want{ledger.Open, true, 0, 0}},
-		{"silent past the cutoff and margin", func(w *ledgertest.World) { w.Start("j/a@w1"); silent(w, 7100*time.Millisecond) }, want{ledger.Open, false, 0, 1}},
-		{"lost too often", func(w *ledgertest.World) {
+			w.Heartbeat("w1", nil)
+		}, want{ledger.Ready, true, 0, 0}},
+		{"silent before the cutoff and margin", func(w *ledgertest.Fixture) { w.StartTask("j/a@w1"); silent(w, 6900*time.Millisecond) }, want{ledger.Ready, true, 0, 0}},
+		{"silent past the cutoff and margin", func(w *ledgertest.Fixture) { w.StartTask("j/a@w1"); silent(w, 7100*time.Millisecond) }, want{ledger.Ready, false, 0, 1}},
+		{"lost too often", func(w *ledgertest.Fixture) {
 			for range 3 {
-				w.Start("j/a@w1")
-				w.Beat("w1", func(b *ledger.Beat) { b.Running = nil })
+				w.StartTask("j/a@w1")
+				w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Running = nil })
 			}
 		}, want{ledger.Failed, false, 0, 3}},
-		{"a new incarnation does not free what the old one may run", func(w *ledgertest.World) {
-			w.Start("j/a@w1")
-			w.Beat("w1", func(b *ledger.Beat) { b.Incarnation, b.Number, b.Running = 2, 1, nil })
+		{"a new incarnation does not free what the old one may run", func(w *ledgertest.Fixture) {
+			w.StartTask("j/a@w1")
+			w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Incarnation, b.Number, b.Running = 2, 1, nil })
 			silent(w, 5*time.Second)
-		}, want{ledger.Open, true, 0, 0}},
-		{"it does once the old cutoff and the margin have passed", func(w *ledgertest.World) {
-			w.Start("j/a@w1")
-			w.Beat("w1", func(b *ledger.Beat) { b.Incarnation, b.Number, b.Running = 2, 1, nil })
+		}, want{ledger.Ready, true, 0, 0}},
+		{"it does once the old cutoff and the margin have passed", func(w *ledgertest.Fixture) {
+			w.StartTask("j/a@w1")
+			w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Incarnation, b.Number, b.Running = 2, 1, nil })
 			silent(w, 8*time.Second)
-		}, want{ledger.Open, false, 0, 1}},
-		{"a good end from an older attempt counts", func(w *ledgertest.World) {
-			a := w.Start("j/a@w1")
+		}, want{ledger.Ready, false, 0, 1}},
+		{"a good end from an older attempt counts", func(w *ledgertest.Fixture) {
+			a := w.StartTask("j/a@w1")
 			silent(w, 8*time.Second)
-			w.Start("j/a@w2")
-			w.End("w1", ledger.End{Attempt: a, Good: true})
+			w.StartTask("j/a@w2")
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Succeeded: true})
 		}, want{ledger.Done, true, 0, 1}},
-		{"a worker that ran on has its turn again", func(w *ledgertest.World) {
-			w.Start("j/a@w1")
+		{"a worker that ran on has its turn again", func(w *ledgertest.Fixture) {
+			w.StartTask("j/a@w1")
 			silent(w, 8*time.Second)
-			w.Beat("w1", nil)
-		}, want{ledger.Open, true, 0, 1}},
-		{"run limit counts as a defect once the worker has stopped", func(w *ledgertest.World) {
-			w.Must(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Base: 1, Patch: true, Body: []byte(`{"services":{"tickets":{"classes":{"quick":{"runLimit":"2s"}}}}}`)}})
-			a := w.Start("j/a@w1")
-			w.Pass(3 * time.Second)
-			w.Beat("w1", nil)
-			w.Pass(time.Second)
-			w.End("w1", ledger.End{Attempt: a, Stopped: true})
-		}, want{ledger.Open, false, 1, 0}},
-		{"a good end while it was being stopped still counts", func(w *ledgertest.World) {
-			a := w.Start("j/a@w1")
-			w.Do(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
-			w.End("w1", ledger.End{Attempt: a, Good: true})
+			w.Heartbeat("w1", nil)
+		}, want{ledger.Ready, true, 0, 1}},
+		{"run limit counts as a defect once the worker has stopped", func(w *ledgertest.Fixture) {
+			w.MustApply(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{BaseVersion: 1, Patch: true, Body: []byte(`{"services":{"tickets":{"classes":{"quick":{"runLimit":"2s"}}}}}`)}})
+			a := w.StartTask("j/a@w1")
+			w.Advance(3 * time.Second)
+			w.Heartbeat("w1", nil)
+			w.Advance(time.Second)
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Stopped: true})
+		}, want{ledger.Ready, false, 1, 0}},
+		{"a good end while it was being stopped still counts", func(w *ledgertest.Fixture) {
+			a := w.StartTask("j/a@w1")
+			w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Succeeded: true})
 		}, want{ledger.Done, false, 0, 0}},
-		{"cancelled while it runs", func(w *ledgertest.World) {
-			w.Start("j/a@w1")
-			w.Do(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
+		{"cancelled while it runs", func(w *ledgertest.Fixture) {
+			w.StartTask("j/a@w1")
+			w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
 		}, want{ledger.Cancelled, true, 0, 0}},
-		{"cancelled and stopped", func(w *ledgertest.World) {
-			a := w.Start("j/a@w1")
-			w.Do(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
-			w.End("w1", ledger.End{Attempt: a, Stopped: true})
+		{"cancelled and stopped", func(w *ledgertest.Fixture) {
+			a := w.StartTask("j/a@w1")
+			w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Stopped: true})
 		}, want{ledger.Cancelled, false, 0, 0}},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Worker("w1", 4)
-			w.Worker("w2", 4)
-			w.Job("j", "quick", "a")
+			w.AddWorker("w1", 4)
+			w.AddWorker("w2", 4)
+			w.AcceptJob("j", "quick", "a")
 			row.do(w)
 			task := w.Task("j/a")
-			got := want{task.State, task.Turn.Held(), task.Defects, task.Losses}
+			got := want{task.State, task.Lease.Held(), task.Failures, task.Losses}
 			if got != row.want {
 				t.Errorf("got %+v, want %+v", got, row.want)
 			}
-			job, _ := w.Ledger.Job("j")
-			if finished := job.EndedAt > 0; finished != (task.Closed() && !task.Turn.Held()) {
+			job, _ := w.Store.Job("j")
+			if finished := job.EndedAt > 0; finished != (task.Terminal() && !task.Lease.Held()) {
 				t.Errorf("job %s shows as finished: %v, task %+v", job.State, finished, task)
 			}
-			same(t, w.Ledger)
+			same(t, w.Store)
 		})
 	}
 }
@@ -258,107 +262,107 @@
 // TestSilenceFreesNothingThatMayStillRunOrHaveEnded follows one task whose
 // worker goes silent: when, if ever, another may have it.
 func TestSilenceFreesNothingThatMayStillRunOrHaveEnded(t *testing.T) {
-	gone := func(w *ledgertest.World) code.Code {
-		return w.Do(ledger.Command{Kind: ledger.KindGone, Name: "w1"}).Code
+	gone := func(w *ledgertest.Fixture) code.Code {
+		return w.Apply(ledger.Command{Kind: ledger.KindConfirmWorkerDead, Name: "w1"}).Code
 	}
-	back := func(w *ledgertest.World, ends ...ledger.End) {
-		w.Beat("w1", func(b *ledger.Beat) { b.Incarnation, b.Number, b.Running, b.Ended = 2, 1, nil, ends })
+	back := func(w *ledgertest.Fixture, ends ...ledger.AttemptResult) {
+		w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Incarnation, b.Number, b.Running, b.Ended = 2, 1, nil, ends })
 	}
-	a := ledger.Attempt{Job: "j", Task: "a", Try: 1}
+	a := ledger.Attempt{Job: "j", Task: "a", Number: 1}
 	table := []struct {
 		name, class, silence string
 		limit                time.Duration
-		do                   func(w *ledgertest.World)
+		do                   func(w *ledgertest.Fixture)
 		held                 bool
 		state                string
 	}{
-		{"restart: not while the run limit lasts, though the lease is over", "quick", "", 30 * time.Second, func(w *ledgertest.World) { w.Pass(30 * time.Second) }, true, ledger.Open},
-		{"restart: once the run limit and the margin are over", "quick", "", 30 * time.Second, func(w *ledgertest.World) { w.Pass(32 * time.Second) }, false, ledger.Open},
-		{"restart: not while the lease lasts, though the run limit is over", "quick", "", time.Second, func(w *ledgertest.World) { w.Pass(6 * time.Second) }, true, ledger.Open},
-		{"hold: for a day", "batch", "", time.Second, func(w *ledgertest.World) { w.Pass(24 * time.Hour) }, true, ledger.Open},
-		{"hold by the task in a class that restarts", "quick", "hold", time.Second, func(w *ledgertest.World) { w.Pass(time.Hour) }, true, ledger.Open},
-		{"restart by the task in a class that holds", "batch", "restart", time.Second, func(w *ledgertest.World) { w.Pass(time.Hour) }, false, ledger.Open},
-		{"hold: heard again, it runs on", "batch", "", time.Minute, func(w *ledgertest.World) { w.Pass(time.Hour); w.Beat("w1", nil) }, true, ledger.Open},
-		{"hold: heard again, it ended well meanwhile", "batch", "", time.Minute, func(w *ledgertest.World) {
-			w.Pass(time.Hour)
-			w.End("w1", ledger.End{Attempt: a, Good: true})
+		{"restart: not while the run limit lasts, though the lease is over", "quick", "", 30 * time.Second, func(w *ledgertest.Fixture) { w.Advance(30 * time.Second) }, true, ledger.Ready},
+		{"restart: once the run limit and the margin are over", "quick", "", 30 * time.Second, func(w *ledgertest.Fixture) { w.Advance(32 * time.Second) }, false, ledger.Ready},
+		{"restart: not while the lease lasts, though the run limit is over", "quick", "", time.Second, func(w *ledgertest.Fixture) { w.Advance(6 * time.Second) }, true, ledger.Ready},
+		{"hold: for a day", "batch", "", time.Second, func(w *ledgertest.Fixture) { w.Advance(24 * time.Hour) }, true, ledger.Ready},
+		{"hold by the task in a class that restarts", "quick", "hold", time.Second, func(w *ledgertest.Fixture) { w.Advance(time.Hour) }, true, ledger.Ready},
+		{"restart by the task in a class that holds", "batch", "restart", time.Second, func(w *ledgertest.Fixture) { w.Advance(time.Hour) }, false, ledger.Ready},
+		{"hold: heard again, it runs on", "batch", "", time.Minute, func(w *ledgertest.Fixture) { w.Advance(time.Hour); w.Heartbeat("w1", nil) }, true, ledger.Ready},
+		{"hold: heard again, it ended well meanwhile", "batch", "", time.Minute, func(w *ledgertest.Fixture) {
+			w.Advance(time.Hour)
+			w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Succeeded: true})
 		}, false, ledger.Done},
-		{"hold: heard again, it does not run", "batch", "", time.Minute, func(w *ledgertest.World) {
-			w.Pass(time.Hour)
-			w.Beat("w1", func(b *ledger.Beat) { b.Running = nil })
-		}, false, ledger.Open},
-		{"hold: restarted with a note of the good end", "batch", "", time.Second, func(w *ledgertest.World) {
-			w.Pass(time.Hour)
-			back(w, ledger.End{Attempt: a, Good: true})
+		{"hold: heard again, it does not run", "batch", "", time.Minute, func(w *ledgertest.Fixture) {
+			w.Advance(time.Hour)
+			w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Running = nil })
+		}, false, ledger.Ready},
+		{"hold: restarted with a note of the good end", "batch", "", time.Second, func(w *ledgertest.Fixture) {
+			w.Advance(time.Hour)
+			back(w, ledger.AttemptResult{Attempt: a, Succeeded: true})
 		}, false, ledger.Done},
-		{"hold: restarted without one, the old run may still last", "batch", "", time.Minute, func(w *ledgertest.World) { w.Pass(20 * time.Second); back(w); w.Pass(20 * time.Second) }, true, ledger.Open},
-		{"hold: restarted without one, and the old run is over", "batch", "", time.Minute, func(w *ledgertest.World) { w.Pass(50 * time.Second); back(w); w.Pass(12 * time.Second) }, false, ledger.Open},
-		{"an operator cannot say it of a worker that is heard", "batch", "", time.Second, func(w *ledgertest.World) {
-			if c := gone(w); c != code.WorkerHeard {
+		{"hold: restarted without one, the old run may still last", "batch", "", time.Minute, func(w *ledgertest.Fixture) { w.Advance(20 * time.Second); back(w); w.Advance(20 * time.Second) }, true, ledger.Ready},
+		{"hold: restarted without one, and the old run is over", "batch", "", time.Minute, func(w *ledgertest.Fixture) { w.Advance(50 * time.Second); back(w); w.Advance(12 * time.Second) }, false, ledger.Ready},
+		{"an operator cannot say it of a worker that is heard", "batch", "", time.Second, func(w *ledgertest.Fixture) {
+			if c := gone(w); c != code.WorkerAlive {
 				w.T.Errorf("gone: %v", c)
 			}
-			w.Pass(time.Hour)
-		}, true, ledger.Open},
-		{"an operator says that it is gone", "batch", "", time.Second, func(w *ledgertest.World) {
-			w.Pass(time.Hour)
-			if first, again := gone(w), gone(w); first != code.OK || again != code.Same {
+			w.Advance(time.Hour)
+		}, true, ledger.Ready},
+		{"an operator says that it is gone", "batch", "", time.Second, func(w *ledgertest.Fixture) {
+			w.Advance(time.Hour)
+			if first, again := gone(w), gone(w); first != code.OK || again != code.AlreadyDone {
 				w.T.Errorf("gone: %v, %v", first, again)
 			}
-			w.Pass(time.Second)
-		}, false, ledger.Open},
-		{"an operator says so too early: the run limit still counts", "batch", "", 50 * time.Second, func(w *ledgertest.World) { w.Pass(40 * time.Second); gone(w); w.Pass(9 * time.Second) }, true, ledger.Open},
-		{"a cancelled task is held no longer than it can run", "batch", "", time.Second, func(w *ledgertest.World) {
-			w.Do(ledger.Command{Kind: ledger.KindCancel, Name: "j"})
-			w.Pass(time.Hour)
+			w.Advance(time.Second)
+		}, false, ledger.Ready},
+		{"an operator says so too early: the run limit still counts", "batch", "", 50 * time.Second, func(w *ledgertest.Fixture) { w.Advance(40 * time.Second); gone(w); w.Advance(9 * time.Second) }, true, ledger.Ready},
+		{"a cancelled task is held no longer than it can run", "batch", "", time.Second, func(w *ledgertest.Fixture) {
+			w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: "j"})
+			w.Advance(time.Hour)
 		}, false, ledger.Cancelled},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Worker("w1", 4)
-			spec := ledgertest.Spec("j", row.class, "a")
-			spec.Tasks[0].RunLimit.Duration, spec.Tasks[0].Silence = row.limit, row.silence
-			w.Must(ledger.Command{Kind: ledger.KindAccept, Accept: spec})
-			w.Start("j/a@w1")
+			w.AddWorker("w1", 4)
+			spec := ledgertest.JobSpec("j", row.class, "a")
+			spec.Tasks[0].RunLimit.Duration, spec.Tasks[0].LostWorkerPolicy = row.limit, row.silence
+			w.MustApply(ledger.Command{Kind: ledger.KindAcceptJob, Job: spec})
+			w.StartTask("j/a@w1")
 			row.do(w)
-			if task := w.Task("j/a"); task.Turn.Held() != row.held || task.State != row.state {
-				t.Errorf("held %v, state %s; want %v, %s", task.Turn.Held(), task.State, row.held, row.state)
+			if task := w.Task("j/a"); task.Lease.Held() != row.held || task.State != row.state {
+				t.Errorf("held %v, state %s; want %v, %s", task.Lease.Held(), task.State, row.held, row.state)
 			}
-			same(t, w.Ledger)
+			same(t, w.Store)
 		})
 	}
 }
 
 func TestStaleBeatsAreBounced(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Worker("w1", 4)
-	w.Beat("w1", nil)
-	old := w.Do(ledger.Command{Kind: ledger.KindBeat, Beat: ledger.Beat{Worker: "w1", Incarnation: 1, Number: 1, Site: "a", Service: "tickets"}})
-	if old.Code != code.StaleBeat || old.Orders.Incarnation != 1 {
-		t.Errorf("got %v %+v", old.Code, old.Orders)
+	w.AddWorker("w1", 4)
+	w.Heartbeat("w1", nil)
+	old := w.Apply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: ledger.Heartbeat{Worker: "w1", Incarnation: 1, Number: 1, Zone: "a", Service: "tickets"}})
+	if old.Code != code.StaleHeartbeat || old.Heartbeat.Incarnation != 1 {
+		t.Errorf("got %v %+v", old.Code, old.Heartbeat)
 	}
 }
 
 func TestGangThatIsNotConfirmedGoesBackWhole(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Worker("w1", 4)
-	w.Worker("w2", 4)
-	w.Job("g", "batch", "x[g]", "y[g]")
+	w.AddWorker("w1", 4)
+	w.AddWorker("w2", 4)
+	w.AcceptJob("g", "batch", "x[g]", "y[g]")
 	if c := w.Grant("g/x@w1", "g/y@w2"); c != code.OK {
 		t.Fatal(c)
 	}
-	x := ledger.Attempt{Job: "g", Task: "x", Try: 1}
-	w.Beat("w1", func(b *ledger.Beat) { b.Running = []ledger.Attempt{x} })
-	w.Pass(4100 * time.Millisecond)
-	a := w.Beat("w1", nil)
-	if len(a.Orders.Stops) != 1 || a.Orders.Stops[0] != x {
-		t.Fatalf("the member that runs alone must be stopped: %+v", a.Orders)
+	x := ledger.Attempt{Job: "g", Task: "x", Number: 1}
+	w.Heartbeat("w1", func(b *ledger.Heartbeat) { b.Running = []ledger.Attempt{x} })
+	w.Advance(4100 * time.Millisecond)
+	a := w.Heartbeat("w1", nil)
+	if len(a.Heartbeat.Stops) != 1 || a.Heartbeat.Stops[0] != x {
+		t.Fatalf("the member that runs alone must be stopped: %+v", a.Heartbeat)
 	}
-	w.End("w1", ledger.End{Attempt: x, Stopped: true})
-	w.Beat("w2", nil)
-	w.Beat("w2", nil)
+	w.EndAttempt("w1", ledger.AttemptResult{Attempt: x, Stopped: true})
+	w.Heartbeat("w2", nil)
+	w.Heartbeat("w2", nil)
 	for _, at := range []string{"g/x", "g/y"} {
-		if task := w.Task(at); task.State != ledger.Open || task.Turn.Held() || task.Defects != 0 || task.Losses != 0 {
+		if task := w.Task(at); task.State != ledger.Ready || task.Lease.Held() || task.Failures != 0 || task.Losses != 0 {
 			t.Errorf("%s: %+v", at, task)
 		}
 	}
@@ -369,33 +373,33 @@
 
 func TestBorrowedRoomIsAskedBack(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Worker("w1", 2)
-	w.Job("s", "small", "a")
-	a := w.Start("s/a@w1")
-	if !w.Task("s/a").Turn.Borrowed {
+	w.AddWorker("w1", 2)
+	w.AcceptJob("s", "small", "a")
+	a := w.StartTask("s/a@w1")
+	if !w.Task("s/a").Lease.Borrowed {
 		t.Fatal("a class without a share can only borrow")
 	}
-	push := ledger.Command{Kind: ledger.KindPushOut, Grant: ledger.Grant{Duty: ledgertest.Duty, Epoch: 1, Picks: []ledger.Pick{{Job: "s", Task: "a", Worker: "w1"}}}}
-	w.Must(push)
-	if again := w.Do(push); again.Code != code.TaskNotOpen {
+	push := ledger.Command{Kind: ledger.KindPreempt, Grant: ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{{Job: "s", Task: "a", Worker: "w1"}}}}
+	w.MustApply(push)
+	if again := w.Apply(push); again.Code != code.TaskNotPending {
 		t.Errorf("asked back twice: %v", again.Code)
 	}
-	if o := w.Beat("w1", nil).Orders; len(o.Stops) != 1 || o.Stops[0] != a {
+	if o := w.Heartbeat("w1", nil).Heartbeat; len(o.Stops) != 1 || o.Stops[0] != a {
 		t.Errorf("orders %+v", o)
 	}
-	if task := w.Task("s/a"); !task.Turn.Held() {
+	if task := w.Task("s/a"); !task.Lease.Held() {
 		t.Error("the turn goes back only once the worker has stopped")
 	}
-	w.End("w1", ledger.End{Attempt: a, Stopped: true})
-	if task := w.Task("s/a"); task.Turn.Held() || task.State != ledger.Open || task.Defects+task.Losses != 0 {
+	w.EndAttempt("w1", ledger.AttemptResult{Attempt: a, Stopped: true})
+	if task := w.Task("s/a"); task.Lease.Held() || task.State != ledger.Ready || task.Failures+task.Losses != 0 {
 		t.Errorf("pushed out without fault: %+v", task)
 	}
 }
 
 func TestPlanIsConditionalAndNeverGoesBack(t *testing.T) {
 	w := ledgertest.New(t)
-	patch := func(base uint64, token, body string) ledger.Answer {
-		return w.Do(ledger.Command{Kind: ledger.KindPlan, Token: token, Plan: ledger.PlanChange{Base: base, Patch: true, Body: []byte(body)}})
+	patch := func(base uint64, token, body string) ledger.Result {
+		return w.Apply(ledger.Command{Kind: ledger.KindChangeConfig, IdempotencyKey: token, ConfigChange: ledger.ConfigChange{BaseVersion: base, Patch: true, Body: []byte(body)}})
 	}
 	table := []struct {
 		base           uint64
@@ -404,23 +408,23 @@
 		wantedSequence uint64
 	}{
 		{1, "one", `{"limits":{"keep":"1h"}}`, code.OK, 2},
-		{1, "two", `{"limits":{"keep":"2h"}}`, code.StalePlan, 2},
-		{1, "one", `{"limits":{"keep":"1h"}}`, code.Same, 2},
-		{2, "", `{"policies":{"order":"priority +"}}`, code.BadPolicy, 2},
-		{2, "", `{"policies":{"order":"nothing"}}`, code.BadPolicy, 2},
-		{2, "", `{"policies":{"borrow":"now() == now()"}}`, code.BadPolicy, 2},
-		{2, "", `{"services":{"tickets":{"classes":{"quick":{"share":51}}}}}`, code.BadPlan, 2},
-		{2, "", `{"services":{"tickets":{"classes":{"quick":{"shar":51}}}}}`, code.BadPlan, 2},
-		{2, "", `{"limits":{"startBy":"7s"}}`, code.BadPlan, 2},
+		{1, "two", `{"limits":{"keep":"2h"}}`, code.StaleConfig, 2},
+		{1, "one", `{"limits":{"keep":"1h"}}`, code.AlreadyDone, 2},
+		{2, "", `{"policies":{"order":"priority +"}}`, code.InvalidPolicy, 2},
+		{2, "", `{"policies":{"order":"nothing"}}`, code.InvalidPolicy, 2},
+		{2, "", `{"policies":{"borrow":"now() == now()"}}`, code.InvalidPolicy, 2},
+		{2, "", `{"services":{"tickets":{"classes":{"quick":{"share":51}}}}}`, code.InvalidConfig, 2},
+		{2, "", `{"services":{"tickets":{"classes":{"quick":{"shar":51}}}}}`, code.InvalidConfig, 2},
+		{2, "", `{"limits":{"startBy":"7s"}}`, code.InvalidConfig, 2},
 		{2, "", `[]`, code.Malformed, 2},
 		{2, "", `{"policies":{"order":"priority + waited / 60"}}`, code.OK, 3},
 	}
 	for _, row := range table {
 		a := patch(row.base, row.token, row.body)
-		if a.Code != row.want || a.Sequence != row.wantedSequence || w.Ledger.Plan().Sequence != row.wantedSequence {
-			t.Errorf("%s on %d: %v %s, sequence %d", row.body, row.base, a.Code, a.Why, a.Sequence)
+		if a.Code != row.want || a.ConfigVersion != row.wantedSequence || w.Store.Config().Version != row.wantedSequence {
+			t.Errorf("%s on %d: %v %s, sequence %d", row.body, row.base, a.Code, a.Reason, a.ConfigVersion)
 		}
-		same(t, w.Ledger)
+		same(t, w.Store)
 	}
 }
 
@@ -428,58 +432,58 @@
 // the first one's request comes again, as it does after silence.
 func TestARepeatedWriteBringsNoOlderStateBack(t *testing.T) {
 	patch := func(limit string) ledger.Command {
-		return ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Forced: true, Patch: true, Body: []byte(`{"limits":{"keep":"` + limit + `"}}`)}}
+		return ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Forced: true, Patch: true, Body: []byte(`{"limits":{"keep":"` + limit + `"}}`)}}
 	}
 	pass := func(to string) ledger.Command {
-		return ledger.Command{Kind: ledger.KindMove, Name: ledgertest.Duty, Hello: ledger.Hello{For: to}}
+		return ledger.Command{Kind: ledger.KindTransferLeadership, Name: ledgertest.Leadership, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Candidate: to}}
 	}
-	state := func(w *ledgertest.World) string {
-		worker, _ := w.Ledger.Worker("w1")
-		return fmt.Sprint(w.Ledger.Emptied(), worker.Drained, worker.Gone, w.Ledger.Duty(ledgertest.Duty).Holder, w.Ledger.Plan().Limits.Keep, w.Ledger.Plan().Sequence)
+	stateOf := func(w *ledgertest.Fixture) string {
+		worker, _ := w.Store.Worker("w1")
+		return fmt.Sprint(w.Store.DrainedZones(), worker.Drained, worker.ConfirmedDead, w.Store.Leadership(ledgertest.Leadership).Leader, w.Store.Config().Limits.FinishedRetention, w.Store.Config().Version)
 	}
 	table := []struct {
 		name string
 		a, b ledger.Command
 		want code.Code
 	}{
-		{"empty, refilled meanwhile", ledger.Command{Kind: ledger.KindSite, Name: "a", On: true}, ledger.Command{Kind: ledger.KindSite, Name: "a"}, code.Same},
-		{"refill, emptied meanwhile", ledger.Command{Kind: ledger.KindSite, Name: "a"}, ledger.Command{Kind: ledger.KindSite, Name: "a", On: true}, code.Same},
-		{"drain, undrained meanwhile", ledger.Command{Kind: ledger.KindDrain, Name: "w1", On: true}, ledger.Command{Kind: ledger.KindDrain, Name: "w1"}, code.Same},
-		{"undrain, drained meanwhile", ledger.Command{Kind: ledger.KindDrain, Name: "w1"}, ledger.Command{Kind: ledger.KindDrain, Name: "w1", On: true}, code.Same},
-		{"pass, passed back meanwhile", pass("s2"), pass("s1"), code.Same},
-		{"a forced plan, changed meanwhile", patch("1h"), patch("2h"), code.Same},
-		{"a bounce stays a bounce", ledger.Command{Kind: ledger.KindDrain, Name: "w9", On: true}, ledger.Command{Kind: ledger.KindSite, Name: "a", On: true}, code.UnknownName},
+		{"empty, refilled meanwhile", ledger.Command{Kind: ledger.KindDrainZone, Name: "a", Drain: true}, ledger.Command{Kind: ledger.KindDrainZone, Name: "a"}, code.AlreadyDone},
+		{"refill, emptied meanwhile", ledger.Command{Kind: ledger.KindDrainZone, Name: "a"}, ledger.Command{Kind: ledger.KindDrainZone, Name: "a", Drain: true}, code.AlreadyDone},
+		{"drain, undrained meanwhile", ledger.Command{Kind: ledger.KindDrainWorker, Name: "w1", Drain: true}, ledger.Command{Kind: ledger.KindDrainWorker, Name: "w1"}, code.AlreadyDone},
+		{"undrain, drained meanwhile", ledger.Command{Kind: ledger.KindDrainWorker, Name: "w1"}, ledger.Command{Kind: ledger.KindDrainWorker, Name: "w1", Drain: true}, code.AlreadyDone},
+		{"pass, passed back meanwhile", pass("s2"), pass("s1"), code.AlreadyDone},
+		{"a forced plan, changed meanwhile", patch("1h"), patch("2h"), code.AlreadyDone},
+		{"a bounce stays a bounce", ledger.Command{Kind: ledger.KindDrainWorker, Name: "w9", Drain: true}, ledger.Command{Kind: ledger.KindDrainZone, Name: "a", Drain: true}, code.UnknownName},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Worker("w1", 4)
-			w.Must(ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{Daemon: "s2", Site: "a"}})
-			row.a.Token, row.b.Token = "one", "two"
-			w.Do(row.a)
-			w.Must(row.b)
-			before := state(w)
-			copied, err := ledger.Load(w.Ledger.Records())
+			w.AddWorker("w1", 4)
+			w.MustApply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "s2", Zone: "a"}})
+			row.a.IdempotencyKey, row.b.IdempotencyKey = "one", "two"
+			w.Apply(row.a)
+			w.MustApply(row.b)
+			before := stateOf(w)
+			copied, err := ledger.Load(w.Store.Records())
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.Ledger = copied // the next primary
+			w.Store = copied // the next primary
 			if row.want == code.UnknownName {
-				w.Worker("w9", 4)
+				w.AddWorker("w9", 4)
 			}
-			if again := w.Do(row.a); again.Code != row.want || state(w) != before {
-				t.Errorf("the repeat: %v %s, state %s, before %s", again.Code, again.Why, state(w), before)
+			if again := w.Apply(row.a); again.Code != row.want || stateOf(w) != before {
+				t.Errorf("the repeat: %v %s, state %s, before %s", again.Code, again.Reason, stateOf(w), before)
 			}
 			other := row.a
-			other.Name, other.Plan.Body = "b", []byte(`{"limits":{}}`)
-			if a := w.Do(other); a.Code != code.OtherRequest || state(w) != before {
+			other.Name, other.ConfigChange.Body = "b", []byte(`{"limits":{}}`)
+			if a := w.Apply(other); a.Code != code.IdempotencyKeyReused || stateOf(w) != before {
 				t.Errorf("another request with the same key: %v", a.Code)
 			}
-			w.Pass(ledger.RequestsFor + time.Second)
-			if late := w.Do(row.a); late.Code != code.TooLate || state(w) != before {
-				t.Errorf("once it is forgotten: %v %s", late.Code, late.Why)
+			w.Advance(ledger.RequestRetention + time.Second)
+			if late := w.Apply(row.a); late.Code != code.RequestExpired || stateOf(w) != before {
+				t.Errorf("once it is forgotten: %v %s", late.Code, late.Reason)
 			}
-			same(t, w.Ledger)
+			same(t, w.Store)
 		})
 	}
 }
@@ -488,18 +492,18 @@
 // gone, and after they are forgotten.
 func TestAnEndedJobIsNotStartedAgain(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Must(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Base: 1, Patch: true, Body: []byte(`{"limits":{"keep":"1m","remember":"1h","rememberMax":2}}`)}})
-	w.Worker("w1", 4)
+	w.MustApply(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{BaseVersion: 1, Patch: true, Body: []byte(`{"limits":{"keep":"1m","remember":"1h","rememberMax":2}}`)}})
+	w.AddWorker("w1", 4)
 	for _, id := range []string{"j", "k", "l"} {
-		w.Job(id, "quick", "a")
-		w.Finish(id + "/a@w1")
-		w.Pass(2 * time.Minute)
-		w.Pass(time.Second)
-		w.Beat("w1", nil)
+		w.AcceptJob(id, "quick", "a")
+		w.FinishTask(id + "/a@w1")
+		w.Advance(2 * time.Minute)
+		w.Advance(time.Second)
+		w.Heartbeat("w1", nil)
 	}
 	ask := func(id, task string) (code.Code, string) {
-		a := w.Job(id, "quick", task)
-		same(t, w.Ledger)
+		a := w.AcceptJob(id, "quick", task)
+		same(t, w.Store)
 		return a.Code, a.Job.State
 	}
 	for _, row := range []struct {
@@ -507,20 +511,20 @@
 		want     code.Code
 		state    string
 	}{
-		{"l", "a", code.Same, ledger.Done}, {"l", "b", code.OtherContent, ""}, {"k", "a", code.Same, ledger.Done},
+		{"l", "a", code.AlreadyDone, ledger.Done}, {"l", "b", code.JobConflict, ""}, {"k", "a", code.AlreadyDone, ledger.Done},
 		{"j", "a", code.OK, ledger.Waiting}, // the oldest of three, and two are remembered
 	} {
-		if c, state := ask(row.id, row.task); c != row.want || state != row.state {
-			t.Errorf("%s again with %s: %v %s, want %v %s", row.id, row.task, c, state, row.want, row.state)
+		if c, stateOf := ask(row.id, row.task); c != row.want || stateOf != row.state {
+			t.Errorf("%s again with %s: %v %s, want %v %s", row.id, row.task, c, stateOf, row.want, row.state)
 		}
 	}
-	if a := w.Do(ledger.Command{Kind: ledger.KindCancel, Name: "l"}); a.Code != code.Same || a.Job.State != ledger.Done {
+	if a := w.Apply(ledger.Command{Kind: ledger.KindCancelJob, Name: "l"}); a.Code != code.AlreadyDone || a.Job.State != ledger.Done {
 		t.Errorf("cancel of a past job: %v %s", a.Code, a.Job.State)
 	}
-	if a := w.Ledger.Unknown("x"); a.Code != code.UnknownJob || !strings.Contains(a.Why, "ended over") {
-		t.Errorf("unknown: %v %s", a.Code, a.Why)
+	if a := w.Store.RejectUnknownJob("x"); a.Code != code.UnknownJob || !strings.Contains(a.Reason, "ended over") {
+		t.Errorf("unknown: %v %s", a.Code, a.Reason)
 	}
-	w.Pass(2 * time.Hour)
+	w.Advance(2 * time.Hour)
 	if c, _ := ask("l", "a"); c != code.OK {
 		t.Errorf("after the hour: %v", c)
 	}
@@ -532,24 +536,24 @@
 		cmd  ledger.Command
 		says string
 	}{
-		{ledger.Command{Kind: ledger.KindSite, Name: "aa", On: true}, "known are: a"},
-		{ledger.Command{Kind: ledger.KindSite, Name: "", On: true}, "known are: a"},
-		{ledger.Command{Kind: ledger.KindDrain, Name: "w2", On: true}, "known are: w1"},
-		{ledger.Command{Kind: ledger.KindGone, Name: "w2"}, "known are: w1"},
-		{ledger.Command{Kind: ledger.KindMove, Name: "dispatch/b", Hello: ledger.Hello{For: "s1"}}, "known are: dispatch/a"},
-		{ledger.Command{Kind: ledger.KindMove, Name: ledgertest.Duty, Hello: ledger.Hello{For: "s9"}}, "known are: s1"},
+		{ledger.Command{Kind: ledger.KindDrainZone, Name: "aa", Drain: true}, "known are: a"},
+		{ledger.Command{Kind: ledger.KindDrainZone, Name: "", Drain: true}, "known are: a"},
+		{ledger.Command{Kind: ledger.KindDrainWorker, Name: "w2", Drain: true}, "known are: w1"},
+		{ledger.Command{Kind: ledger.KindConfirmWorkerDead, Name: "w2"}, "known are: w1"},
+		{ledger.Command{Kind: ledger.KindTransferLeadership, Name: "dispatch/b", SchedulerHeartbeat: ledger.SchedulerHeartbeat{Candidate: "s1"}}, "known are: dispatch/a"},
+		{ledger.Command{Kind: ledger.KindTransferLeadership, Name: ledgertest.Leadership, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Candidate: "s9"}}, "known are: s1"},
 	} {
 		w := ledgertest.New(t)
-		w.Worker("w1", 4)
-		before := w.Ledger.Records()
-		a := w.Do(row.cmd)
-		if a.Code != code.UnknownName || !strings.Contains(a.Why, row.says) {
-			t.Errorf("%s %q: %v %s", row.cmd.Kind, row.cmd.Name, a.Code, a.Why)
+		w.AddWorker("w1", 4)
+		before := w.Store.Records()
+		a := w.Apply(row.cmd)
+		if a.Code != code.UnknownName || !strings.Contains(a.Reason, row.says) {
+			t.Errorf("%s %q: %v %s", row.cmd.Kind, row.cmd.Name, a.Code, a.Reason)
 		}
 		ignored := func(r []machine.Record) []machine.Record {
 			return slices.DeleteFunc(slices.Clone(r), func(r machine.Record) bool { return r.Key == "position" })
 		}
-		if diff := cmp.Diff(ignored(before), ignored(w.Ledger.Records())); diff != "" {
+		if diff := cmp.Diff(ignored(before), ignored(w.Store.Records())); diff != "" {
 			t.Errorf("%s %q changed: %s", row.cmd.Kind, row.cmd.Name, diff)
 		}
 	}
@@ -557,22 +561,22 @@
 
 func TestDutyMovesByItsHolderOrByAMajority(t *testing.T) {
 	w := ledgertest.New(t)
-	hello := func(h ledger.Hello) code.Code {
-		return w.Do(ledger.Command{Kind: ledger.KindHello, Hello: h}).Code
+	hello := func(h ledger.SchedulerHeartbeat) code.Code {
+		return w.Apply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: h}).Code
 	}
 	vote := func(by, to string, epoch uint64) code.Code {
-		return hello(ledger.Hello{Daemon: by, Want: ledgertest.Duty, For: to, Epoch: epoch})
+		return hello(ledger.SchedulerHeartbeat{Scheduler: by, Leadership: ledgertest.Leadership, Candidate: to, Epoch: epoch})
 	}
 	all := func() {
 		for _, id := range []string{"s2", "s3", "s4", "s5"} {
-			hello(ledger.Hello{Daemon: id})
+			hello(ledger.SchedulerHeartbeat{Scheduler: id})
 		}
 	}
 	all()
 	if c := vote("s2", "s2", 1); c != code.StaleEpoch {
 		t.Errorf("a vote while the holder is alive: %v", c)
 	}
-	w.Pass(20 * time.Second)
+	w.Advance(20 * time.Second)
 	all()
 	steps := []struct {
 		by, to string
@@ -581,15 +585,15 @@
 	}{{"s2", "s2", 1, "s1"}, {"s3", "s3", 1, "s1"}, {"s4", "s2", 1, "s1"}, {"s5", "s2", 0, "s1"}, {"s3", "s2", 1, "s2"}, {"s4", "s4", 1, "s2"}}
 	for i, step := range steps {
 		vote(step.by, step.to, step.epoch)
-		if d := w.Ledger.Duty(ledgertest.Duty); d.Holder != step.holder {
-			t.Fatalf("step %d: held by %s, want %s; %+v", i, d.Holder, step.holder, d)
+		if d := w.Store.Leadership(ledgertest.Leadership); d.Leader != step.holder {
+			t.Fatalf("step %d: held by %s, want %s; %+v", i, d.Leader, step.holder, d)
 		}
 	}
-	if c := hello(ledger.Hello{Daemon: "s3", Want: ledgertest.Duty, For: "s3", Epoch: 2, Pass: true}); c != code.StaleEpoch {
+	if c := hello(ledger.SchedulerHeartbeat{Scheduler: "s3", Leadership: ledgertest.Leadership, Candidate: "s3", Epoch: 2, Transfer: true}); c != code.StaleEpoch {
 		t.Errorf("only the holder names a successor: %v", c)
 	}
-	if c := hello(ledger.Hello{Daemon: "s2", Want: ledgertest.Duty, For: "s3", Epoch: 2, Pass: true}); c != code.OK || w.Ledger.Duty(ledgertest.Duty).Holder != "s3" {
+	if c := hello(ledger.SchedulerHeartbeat{Scheduler: "s2", Leadership: ledgertest.Leadership, Candidate: "s3", Epoch: 2, Transfer: true}); c != code.OK || w.Store.Leadership(ledgertest.Leadership).Leader != "s3" {
 		t.Errorf("the holder names its successor: %v", c)
 	}
-	same(t, w.Ledger)
+	same(t, w.Store)
 }
--- a/core/ledger/load.go
+++ b/core/ledger/load.go
@@ -10,25 +10,25 @@
 )
 
 // Load rebuilds a ledger from its records.
-func Load(records []machine.Record) (*Ledger, error) {
+func Load(records []machine.Record) (*Store, error) {
 	loader := NewLoader()
 	for _, r := range records {
 		if err := loader.Add(r); err != nil {
 			return nil, err
 		}
 	}
-	return loader.Ledger()
+	return loader.Store()
 }
 
 // Loader rebuilds a ledger from records that come piece by piece.
 type Loader struct {
-	ledger *Ledger
+	store *Store
 	// tasks came before their jobs.
-	tasks []machine.Record
+	deferredTasks []machine.Record
 }
 
 // NewLoader begins with an empty ledger.
-func NewLoader() *Loader { return &Loader{ledger: New()} }
+func NewLoader() *Loader { return &Loader{store: New()} }
 
 // Add takes the next record.
 func (o *Loader) Add(r machine.Record) error {
@@ -39,28 +39,28 @@
 }
 
 func (o *Loader) add(r machine.Record) error {
-	l := o.ledger
+	l := o.store
 	switch r.Bucket {
 	case "job":
 		return o.addJob(r)
 	case "task":
-		if _, ok := l.jobs[refOf(r.Key).job]; ok {
+		if _, ok := l.jobs[parseTaskKey(r.Key).job]; ok {
 			return o.addTask(r)
 		}
-		o.tasks = append(o.tasks, r)
+		o.deferredTasks = append(o.deferredTasks, r)
 		return nil
 	case "worker":
-		return loadInto(l.workers, r)
+		return decodeInto(l.workers, r)
 	case "site":
-		return loadInto(l.emptied, r)
+		return decodeInto(l.drainedZones, r)
 	case "duty":
-		return loadInto(l.duties, r)
+		return decodeInto(l.leaderships, r)
 	case "daemon":
-		return loadInto(l.daemons, r)
+		return decodeInto(l.schedulers, r)
 	case "request":
 		return l.loadRequest(r)
 	case "past":
-		return loadInto(l.past.byKey, r)
+		return decodeInto(l.pastJobs.byKey, r)
 	case "meta":
 		return o.addMeta(r)
 	}
@@ -68,55 +68,55 @@
 }
 
 func (o *Loader) addJob(r machine.Record) error {
-	if err := loadInto(o.ledger.jobs, r); err != nil {
+	if err := decodeInto(o.store.jobs, r); err != nil {
 		return err
 	}
-	job := o.ledger.jobs[r.Key]
-	job.Spec.Tasks = placed(job.Spec)
-	job.Tasks = fresh(job)
-	o.ledger.jobs[r.Key] = job
+	job := o.store.jobs[r.Key]
+	job.Spec.Tasks = resolveDependencies(job.Spec)
+	job.Tasks = newTasks(job)
+	o.store.jobs[r.Key] = job
 	return nil
 }
 
 func (o *Loader) addTask(r machine.Record) error {
-	at := refOf(r.Key)
-	job, ok := o.ledger.jobs[at.job]
-	if !ok || at.task >= len(job.Tasks) {
+	at := parseTaskKey(r.Key)
+	job, ok := o.store.jobs[at.job]
+	if !ok || at.index >= len(job.Tasks) {
 		return fmt.Errorf("there is no such task")
 	}
-	return json.Unmarshal(r.Value, &job.Tasks[at.task])
+	return json.Unmarshal(r.Value, &job.Tasks[at.index])
 }
 
 func (o *Loader) addMeta(r machine.Record) error {
-	l := o.ledger
+	l := o.store
 	if r.Key == "plan" {
-		return json.Unmarshal(r.Value, &l.plan)
+		return json.Unmarshal(r.Value, &l.config)
 	}
-	var m meta
+	var m metadata
 	err := json.Unmarshal(r.Value, &m)
-	l.takeMeta(m)
+	l.applyMetadata(m)
 	return err
 }
 
-func (l *Ledger) takeMeta(m meta) {
-	l.position, l.at, l.next, l.horizon, l.decision = m.Position, m.At, m.Next, m.Horizon, m.Decision
-	maps.Copy(l.orders, m.Orders)
+func (l *Store) applyMetadata(m metadata) {
+	l.position, l.now, l.nextTaskNumber, l.forgottenUntil, l.lastDecisionIndex = m.Position, m.Time, m.NextTaskNumber, m.ForgottenUntil, m.LastDecisionIndex
+	maps.Copy(l.zoneOrders, m.ZoneOrders)
 }
 
 // Ledger is the whole once all records are there.
-func (o *Loader) Ledger() (*Ledger, error) {
-	for _, r := range o.tasks {
+func (o *Loader) Store() (*Store, error) {
+	for _, r := range o.deferredTasks {
 		if err := o.addTask(r); err != nil {
 			return nil, fmt.Errorf("record %s/%s: %w", r.Bucket, r.Key, err)
 		}
 	}
-	o.tasks = nil
-	o.ledger.rules = o.ledger.plan.Compile()
-	o.ledger.index()
-	return o.ledger, nil
+	o.deferredTasks = nil
+	o.store.policies = o.store.config.Compile()
+	o.store.rebuildIndexes()
+	return o.store, nil
 }
 
-func loadInto[V any](into map[string]V, r machine.Record) error {
+func decodeInto[V any](into map[string]V, r machine.Record) error {
 	var v V
 	if err := json.Unmarshal(r.Value, &v); err != nil {
 		return err
--- a/core/ledger/memory.go
+++ b/core/ledger/memory.go
@@ -18,28 +18,28 @@
 const (
 	// RequestsFor is how long a token is remembered; an operator's write that
 	// was asked for longer ago is bounced.
-	RequestsFor = 10 * time.Minute
+	RequestRetention = 10 * time.Minute
 	// AskedUnknown marks a write that came through a process that follows no
 	// ledger; it must be safe by its own condition once it is forgotten.
-	AskedUnknown time.Duration = -1
+	RequestTimeUnknown time.Duration = -1
 	// RequestsMax is how many are remembered; past it, new ones must wait.
-	RequestsMax = 20000
+	MaxRequests = 20000
 	// PlansMax is how many plans that were taken are remembered by their tokens,
 	// however long ago that was, where a repeat is not bounced for its age.
-	PlansMax = 4096
+	MaxConfigRequests = 4096
 )
 
 // Request is an operator's write as it was answered. Plan marks those that are
 // remembered by number, not by age.
 type Request struct {
-	At     time.Duration `json:"at"`
-	Digest string        `json:"digest"`
-	Plan   bool          `json:"plan,omitempty"`
-	Answer Answer        `json:"answer"`
+	AnsweredAt   time.Duration `json:"at"`
+	Digest       string        `json:"digest"`
+	ConfigChange bool          `json:"plan,omitempty"`
+	Result       Result        `json:"answer"`
 }
 
 // Past is what is left of a job once its record is gone.
-type Past struct {
+type PastJob struct {
 	Digest  string        `json:"digest"`
 	Service string        `json:"service"`
 	Class   string        `json:"class"`
@@ -48,25 +48,25 @@
 }
 
 // memory is a bounded map with its keys by age.
-type memory[V any] struct {
+type boundedMap[V any] struct {
 	byKey map[string]V
 	order []string
 }
 
-func (m *memory[V]) put(key string, v V) {
+func (m *boundedMap[V]) put(key string, v V) {
 	m.byKey[key] = v
 	m.order = append(m.order, key)
 }
 
 // sort rebuilds the order after a load.
-func (m *memory[V]) sort(at func(V) time.Duration) {
+func (m *boundedMap[V]) sortByAge(at func(V) time.Duration) {
 	m.order = slices.SortedFunc(maps.Keys(m.byKey), func(a, b string) int {
 		return cmp.Or(cmp.Compare(at(m.byKey[a]), at(m.byKey[b])), cmp.Compare(a, b))
 	})
 }
 
 // old gives the keys to forget: those past their time, and the oldest over max.
-func (m *memory[V]) old(most int, past func(V) bool) []string {
+func (m *boundedMap[V]) expired(most int, past func(V) bool) []string {
 	n := max(0, len(m.order)-most)
 	for n < len(m.order) && past(m.byKey[m.order[n]]) {
 		n++
@@ -74,7 +74,7 @@
 	return m.order[:n]
 }
 
-func (m *memory[V]) drop(n int) {
+func (m *boundedMap[V]) dropOldest(n int) {
 	for _, key := range m.order[:n] {
 		delete(m.byKey, key)
 	}
@@ -82,125 +82,125 @@
 }
 
 // once carries out an operator's write unless its token is known.
-func (l *Ledger) once(cmd Command, do func() Answer) Answer {
-	if cmd.Token == "" {
+func (l *Store) applyOnce(cmd Command, do func() Result) Result {
+	if cmd.IdempotencyKey == "" {
 		return do()
 	}
 	sum := cmd.Digest
 	if sum == "" {
-		sum = digest([]any{cmd.Kind, cmd.Name, cmd.On, cmd.Plan, cmd.Hello})
+		sum = digest([]any{cmd.Kind, cmd.Name, cmd.Drain, cmd.ConfigChange, cmd.SchedulerHeartbeat})
 	}
-	if known, ok := l.request(cmd.Token); ok {
+	if known, ok := l.rememberedRequest(cmd.IdempotencyKey); ok {
 		switch {
 		case known.Digest != sum:
-			return bounce(code.OtherRequest, "the key %s was used for another request", cmd.Token)
-		case known.Answer.Code.Good():
-			known.Answer.Code = code.Same
+			return reject(code.IdempotencyKeyReused, "the key %s was used for another request", cmd.IdempotencyKey)
+		case known.Result.Code.IsSuccess():
+			known.Result.Code = code.AlreadyDone
 		}
-		return known.Answer
+		return known.Result
 	}
-	if cmd.Asked != AskedUnknown && l.at-cmd.Asked > RequestsFor {
-		return bounce(code.TooLate, "asked %s ago; what was asked over %s ago is not carried out", l.at-cmd.Asked, RequestsFor)
+	if cmd.RequestedAt != RequestTimeUnknown && l.now-cmd.RequestedAt > RequestRetention {
+		return reject(code.RequestExpired, "asked %s ago; what was asked over %s ago is not carried out", l.now-cmd.RequestedAt, RequestRetention)
 	}
-	if len(l.requests.order) >= RequestsMax {
-		a := bounce(code.InboxFull, "%d writes of operators within %s", RequestsMax, RequestsFor)
-		a.RetryAfter = l.requests.byKey[l.requests.order[0]].At + RequestsFor - l.at
+	if len(l.requests.order) >= MaxRequests {
+		a := reject(code.QueueFull, "%d writes of operators within %s", MaxRequests, RequestRetention)
+		a.RetryAfter = l.requests.byKey[l.requests.order[0]].AnsweredAt + RequestRetention - l.now
 		return a
 	}
 	a := do()
-	l.remember(cmd, sum, a)
+	l.rememberRequest(cmd, sum, a)
 	return a
 }
 
 // remember keeps how a write was answered. A refusal that holds for a moment only
 // is not kept: asked again, the write is looked at anew.
-func (l *Ledger) remember(cmd Command, sum string, a Answer) {
-	if passing(a.Code) {
+func (l *Store) rememberRequest(cmd Command, sum string, a Result) {
+	if isTemporary(a.Code) {
 		return
 	}
-	r := Request{At: l.at, Digest: sum, Answer: a}
-	if r.Plan = cmd.Kind == KindPlan && cmd.Asked == AskedUnknown && a.Code.Good(); r.Plan {
-		l.plans.put(cmd.Token, r)
+	r := Request{AnsweredAt: l.now, Digest: sum, Result: a}
+	if r.ConfigChange = cmd.Kind == KindChangeConfig && cmd.RequestedAt == RequestTimeUnknown && a.Code.IsSuccess(); r.ConfigChange {
+		l.configRequests.put(cmd.IdempotencyKey, r)
 	} else {
-		l.requests.put(cmd.Token, r)
+		l.requests.put(cmd.IdempotencyKey, r)
 	}
 }
 
 // passing says whether a refusal holds for a moment only.
-func passing(c code.Code) bool {
-	status := c.Status()
-	return status == tooManyRequests || status >= serverError
+func isTemporary(c code.Code) bool {
+	status := c.HTTPStatus()
+	return status == statusTooManyRequests || status >= statusServerError
 }
 
 const (
-	tooManyRequests = 429
-	serverError     = 500
+	statusTooManyRequests = 429
+	statusServerError     = 500
 )
 
 // request gives a remembered write.
-func (l *Ledger) request(token string) (Request, bool) {
+func (l *Store) rememberedRequest(token string) (Request, bool) {
 	if r, ok := l.requests.byKey[token]; ok {
 		return r, true
 	}
-	r, ok := l.plans.byKey[token]
+	r, ok := l.configRequests.byKey[token]
 	return r, ok
 }
 
 // remembered gives a copy of all remembered writes by their tokens.
-func (l *Ledger) remembered() map[string]Request {
+func (l *Store) rememberedRequests() map[string]Request {
 	all := maps.Clone(l.requests.byKey)
-	maps.Copy(all, l.plans.byKey)
+	maps.Copy(all, l.configRequests.byKey)
 	return all
 }
 
 // loadRequest takes a remembered write from its record.
-func (l *Ledger) loadRequest(record machine.Record) error {
+func (l *Store) loadRequest(record machine.Record) error {
 	var r Request
 	if err := json.Unmarshal(record.Value, &r); err != nil {
 		return err
 	}
-	l.takeRequest(record.Key, r)
+	l.addRequest(record.Key, r)
 	return nil
 }
 
-func (l *Ledger) takeRequest(token string, r Request) {
-	if r.Plan {
-		l.plans.byKey[token] = r
+func (l *Store) addRequest(token string, r Request) {
+	if r.ConfigChange {
+		l.configRequests.byKey[token] = r
 	} else {
 		l.requests.byKey[token] = r
 	}
 }
 
 // Past gives what is left of a job whose record is gone.
-func (l *Ledger) Past(id string) (Job, bool) {
-	p, ok := l.past.byKey[id]
+func (l *Store) PastJob(id string) (Job, bool) {
+	p, ok := l.pastJobs.byKey[id]
 	return Job{Spec: JobSpec{ID: id, Service: p.Service, Class: p.Class}, State: p.State, EndedAt: p.EndedAt}, ok
 }
 
 // Unknown is the answer about a job of which nothing is known. It says how far
 // back the ledger can tell.
-func (l *Ledger) Unknown(id string) Answer {
-	if l.horizon > 0 {
-		return bounce(code.UnknownJob, "job %s is not known; of jobs that ended over %s ago nothing is", id, (l.at - l.horizon).Round(time.Second))
+func (l *Store) RejectUnknownJob(id string) Result {
+	if l.forgottenUntil > 0 {
+		return reject(code.UnknownJob, "job %s is not known; of jobs that ended over %s ago nothing is", id, (l.now - l.forgottenUntil).Round(time.Second))
 	}
-	return bounce(code.UnknownJob, "job %s is not known; it was never accepted", id)
+	return reject(code.UnknownJob, "job %s is not known; it was never accepted", id)
 }
 
 // forgotten says which keys of the memories are due.
-func (l *Ledger) forgotten(now time.Duration) (requests, plans, past []string) {
-	limits := l.plan.Limits
-	plans = l.plans.old(PlansMax, func(Request) bool { return false })
-	requests = l.requests.old(RequestsMax, func(r Request) bool { return now > r.At+RequestsFor })
-	past = l.past.old(limits.RememberMax, func(p Past) bool { return now > p.EndedAt+limits.Remember.Duration })
+func (l *Store) expiredKeys(now time.Duration) (requests, plans, past []string) {
+	limits := l.config.Limits
+	plans = l.configRequests.expired(MaxConfigRequests, func(Request) bool { return false })
+	requests = l.requests.expired(MaxRequests, func(r Request) bool { return now > r.AnsweredAt+RequestRetention })
+	past = l.pastJobs.expired(limits.PastJobsMax, func(p PastJob) bool { return now > p.EndedAt+limits.PastJobRetention.Duration })
 	return requests, plans, past
 }
 
-func (l *Ledger) forgetOld(now time.Duration) {
-	requests, plans, past := l.forgotten(now)
+func (l *Store) forgetExpired(now time.Duration) {
+	requests, plans, past := l.expiredKeys(now)
 	for _, id := range past {
-		l.horizon = max(l.horizon, l.past.byKey[id].EndedAt)
+		l.forgottenUntil = max(l.forgottenUntil, l.pastJobs.byKey[id].EndedAt)
 	}
-	l.requests.drop(len(requests))
-	l.plans.drop(len(plans))
-	l.past.drop(len(past))
+	l.requests.dropOldest(len(requests))
+	l.configRequests.dropOldest(len(plans))
+	l.pastJobs.dropOldest(len(past))
 }
--- a/core/ledger/read.go
+++ b/core/ledger/read.go
@@ -5,42 +5,42 @@
 import "sorrelloom/core/code"
 
 // Read answers a command of a kind that Reads.
-func (l *Ledger) Read(cmd Command) Answer {
+func (l *Store) Read(cmd Command) Result {
 	if cmd.Host != "" {
-		if _, a := l.resolve(cmd.Host, cmd.Path); !a.Code.Good() {
+		if _, a := l.resolveRoute(cmd.Host, cmd.Path); !a.Code.IsSuccess() {
 			return a
 		}
 	}
 	switch cmd.Kind {
-	case KindRead:
+	case KindReadJob:
 		job, ok := l.jobs[cmd.Name]
 		if !ok {
-			job, ok = l.Past(cmd.Name)
+			job, ok = l.PastJob(cmd.Name)
 		}
 		if !ok {
-			return l.Unknown(cmd.Name)
+			return l.RejectUnknownJob(cmd.Name)
 		}
-		return l.brief(cmd, code.OK, job)
-	case KindReadCount:
-		e, _ := l.plan.Find(cmd.Host, cmd.Path)
-		return Answer{Code: code.OK, Count: l.waitingOf(e.Service, e.Class)}
-	case KindReadPlan:
-		if l.plan.Sequence == 0 {
-			return Answer{Code: code.OK}
+		return l.jobResult(cmd, code.OK, job)
+	case KindReadWaitingCount:
+		e, _ := l.config.FindRoute(cmd.Host, cmd.Path)
+		return Result{Code: code.OK, WaitingCount: l.waitingCount(e.Service, e.Class)}
+	case KindReadConfig:
+		if l.config.Version == 0 {
+			return Result{Code: code.OK}
 		}
-		p := l.plan
-		return Answer{Code: code.OK, Plan: &p, Sequence: p.Sequence}
+		p := l.config
+		return Result{Code: code.OK, Config: &p, ConfigVersion: p.Version}
 	case KindReadRequest:
-		if known, ok := l.request(cmd.Name); ok {
-			return known.Answer
+		if known, ok := l.rememberedRequest(cmd.Name); ok {
+			return known.Result
 		}
-		return bounce(code.UnknownName, "no write with the key %s", cmd.Name)
+		return reject(code.UnknownName, "no write with the key %s", cmd.Name)
 	}
-	return Answer{Code: code.OK, Sequence: l.plan.Sequence}
+	return Result{Code: code.OK, ConfigVersion: l.config.Version}
 }
 
 // waitingOf counts the tasks of a class that wait for a turn.
-func (l *Ledger) waitingOf(service, class string) int {
+func (l *Store) waitingCount(service, class string) int {
 	count := 0
 	for n, c := range l.waiting {
 		if n.service == service && n.class == class {
--- a/core/ledger/renewal_test.go
+++ b/core/ledger/renewal_test.go
@@ -16,59 +16,59 @@
 	"sorrelloom/core/ledgertest"
 )
 
-func room(slots int) ledger.Room { return ledger.Room{Slots: slots, Cores: 64} }
+func room(slots int) ledger.Resources { return ledger.Resources{Slots: slots, Cores: 64} }
 
-func reportOf(number uint64, running ...ledger.Attempt) ledger.Beat {
-	return ledger.Beat{Worker: "w", Incarnation: 1, Number: number, Site: "a", Service: "tickets", Labels: []string{"ssd"},
+func reportOf(number uint64, running ...ledger.Attempt) ledger.Heartbeat {
+	return ledger.Heartbeat{Worker: "w", Incarnation: 1, Number: number, Zone: "a", Service: "tickets", Labels: []string{"ssd"},
 		Free: room(8), Total: room(8), Running: running}
 }
 
 func TestReportsThatChangeNothingAreCalm(t *testing.T) {
-	first, second := ledger.Attempt{Job: "j", Task: "a", Try: 1}, ledger.Attempt{Job: "j", Task: "b", Try: 1}
+	first, second := ledger.Attempt{Job: "j", Task: "a", Number: 1}, ledger.Attempt{Job: "j", Task: "b", Number: 1}
 	table := []struct {
 		name   string
-		change func(*ledger.Beat)
+		change func(*ledger.Heartbeat)
 		calm   bool
 	}{
-		{"nothing", func(*ledger.Beat) {}, true},
-		{"the time it leaves in", func(b *ledger.Beat) { b.LeavesIn = 0 }, true},
-		{"a run has ended", func(b *ledger.Beat) { b.Ended = []ledger.End{{Attempt: first, Good: true}} }, false},
-		{"a run is not listed", func(b *ledger.Beat) { b.Running = nil }, false},
-		{"a granted run is listed", func(b *ledger.Beat) { b.Running = append(b.Running, second) }, false},
-		{"a granted run is not listed by the second report", func(b *ledger.Beat) { b.Number++ }, false},
-		{"an unknown run", func(b *ledger.Beat) {
-			b.Running = append(b.Running, ledger.Attempt{Job: "other", Task: "a", Try: 1})
+		{"nothing", func(*ledger.Heartbeat) {}, true},
+		{"the time it leaves in", func(b *ledger.Heartbeat) { b.LeavesIn = 0 }, true},
+		{"a run has ended", func(b *ledger.Heartbeat) { b.Ended = []ledger.AttemptResult{{Attempt: first, Succeeded: true}} }, false},
+		{"a run is not listed", func(b *ledger.Heartbeat) { b.Running = nil }, false},
+		{"a granted run is listed", func(b *ledger.Heartbeat) { b.Running = append(b.Running, second) }, false},
+		{"a granted run is not listed by the second report", func(b *ledger.Heartbeat) { b.Number++ }, false},
+		{"an unknown run", func(b *ledger.Heartbeat) {
+			b.Running = append(b.Running, ledger.Attempt{Job: "other", Task: "a", Number: 1})
 		}, false},
-		{"an older try", func(b *ledger.Beat) { b.Running[0].Try = 9 }, false},
-		{"room", func(b *ledger.Beat) { b.Free.Slots-- }, false},
-		{"total room", func(b *ledger.Beat) { b.Total.Slots-- }, false},
-		{"no total room", func(b *ledger.Beat) { b.Total = ledger.Room{} }, false},
-		{"it leaves", func(b *ledger.Beat) { b.Leaving = true }, false},
-		{"progress", func(b *ledger.Beat) { b.Progress = []ledger.Progress{{Attempt: first, Saved: "x"}} }, false},
-		{"site", func(b *ledger.Beat) { b.Site = "b" }, false},
-		{"rack", func(b *ledger.Beat) { b.Rack = "r" }, false},
-		{"address", func(b *ledger.Beat) { b.Address = "x" }, false},
-		{"service", func(b *ledger.Beat) { b.Service = "podcasts" }, false},
-		{"labels", func(b *ledger.Beat) { b.Labels = nil }, false},
-		{"incarnation", func(b *ledger.Beat) { b.Incarnation++ }, false},
-		{"an earlier number", func(b *ledger.Beat) { b.Number = 1 }, false},
-		{"another worker", func(b *ledger.Beat) { b.Worker = "v" }, false},
+		{"an older try", func(b *ledger.Heartbeat) { b.Running[0].Number = 9 }, false},
+		{"room", func(b *ledger.Heartbeat) { b.Free.Slots-- }, false},
+		{"total room", func(b *ledger.Heartbeat) { b.Total.Slots-- }, false},
+		{"no total room", func(b *ledger.Heartbeat) { b.Total = ledger.Resources{} }, false},
+		{"it leaves", func(b *ledger.Heartbeat) { b.Leaving = true }, false},
+		{"progress", func(b *ledger.Heartbeat) { b.Progress = []ledger.Progress{{Attempt: first, Checkpoint: "x"}} }, false},
+		{"site", func(b *ledger.Heartbeat) { b.Zone = "b" }, false},
+		{"rack", func(b *ledger.Heartbeat) { b.Rack = "r" }, false},
+		{"address", func(b *ledger.Heartbeat) { b.Address = "x" }, false},
+		{"service", func(b *ledger.Heartbeat) { b.Service = "podcasts" }, false},
+		{"labels", func(b *ledger.Heartbeat) { b.Labels = nil }, false},
+		{"incarnation", func(b *ledger.Heartbeat) { b.Incarnation++ }, false},
+		{"an earlier number", func(b *ledger.Heartbeat) { b.Number = 1 }, false},
+		{"another worker", func(b *ledger.Heartbeat) { b.Worker = "v" }, false},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(1)})
-			w.Job("j", "quick", "a", "b")
+			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+			w.AcceptJob("j", "quick", "a", "b")
 			w.Grant("j/a@w")
-			w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(2, first)})
+			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(2, first)})
 			w.Grant("j/b@w")
 			b := reportOf(3, first)
 			row.change(&b)
-			reduced, changes := w.Ledger.Reduce(b)
+			reduced, changes := w.Store.ReduceHeartbeat(b)
 			if changes == row.calm {
 				t.Errorf("changes is %v", changes)
 			}
-			if reduced.Reduced && slices.Contains(reduced.Running, first) {
+			if reduced.Delta && slices.Contains(reduced.Running, first) {
 				t.Error("a reduced report lists a run that the ledger has")
 			}
 		})
@@ -93,18 +93,18 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			w := ledgertest.New(t)
-			w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(1)})
-			w.Job("j", "quick", "a", "b")
+			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+			w.AcceptJob("j", "quick", "a", "b")
 			w.Grant("j/a@w")
-			running := ledger.Attempt{Job: "j", Task: "a", Try: 1}
+			running := ledger.Attempt{Job: "j", Task: "a", Number: 1}
 			b := reportOf(2, running)
 			b.Free = room(row.was)
-			w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: b})
+			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
 			if row.wasUnheard {
 				w.Grant("j/b@w")
 			}
 			b.Number, b.Free = 3, room(row.is)
-			if _, changes := w.Ledger.Reduce(b); changes != row.changes {
+			if _, changes := w.Store.ReduceHeartbeat(b); changes != row.changes {
 				t.Errorf("changes is %v", changes)
 			}
 		})
@@ -114,11 +114,11 @@
 // TestAStrayThatEndsIsAChange has a worker list, and then no more, what it has no turn for.
 func TestAStrayThatEndsIsAChange(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(1)})
-	w.Job("g", "batch", "x[g]")
-	stray := ledger.Attempt{Job: "g", Task: "x", Try: 1}
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(2, stray)})
-	if _, changes := w.Ledger.Reduce(reportOf(3)); !changes {
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	w.AcceptJob("g", "batch", "x[g]")
+	stray := ledger.Attempt{Job: "g", Task: "x", Number: 1}
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(2, stray)})
+	if _, changes := w.Store.ReduceHeartbeat(reportOf(3)); !changes {
 		t.Error("a stray that has ended is no change")
 	}
 }
@@ -134,7 +134,7 @@
 		var attempts []ledger.Attempt
 		numbers := map[string]uint64{}
 		both := func(cmd ledger.Command) {
-			if a, b := whole.Do(cmd), brief.Do(cmd); a.Code != b.Code {
+			if a, b := whole.Apply(cmd), brief.Apply(cmd); a.Code != b.Code {
 				t.Fatalf("seed %d: %s is answered %s and %s", seed, cmd.Kind, a.Code, b.Code)
 			}
 		}
@@ -143,31 +143,31 @@
 			switch chance.IntN(9) {
 			case 0:
 				both(ledger.Command{
-					Kind:   ledger.KindAccept,
-					Accept: ledgertest.Spec(fmt.Sprintf("j%d", step), "quick", "a", "b<a", "x[g]", "y[g]"),
+					Kind: ledger.KindAcceptJob,
+					Job:  ledgertest.JobSpec(fmt.Sprintf("j%d", step), "quick", "a", "b<a", "x[g]", "y[g]"),
 				})
 			case 1, 2:
 				job, task := fmt.Sprintf("j%d", chance.IntN(step+1)), []string{"a", "b"}[chance.IntN(2)]
-				grant := ledger.Grant{Duty: ledgertest.Duty, Epoch: 1, Picks: []ledger.Pick{
-					{Job: job, Task: task, Worker: worker, Beat: numbers[worker]},
+				grant := ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{
+					{Job: job, Task: task, Worker: worker, HeartbeatNumber: numbers[worker]},
 				}}
-				both(ledger.Command{Kind: ledger.KindGrant, Grant: grant})
-				attempts = append(attempts, ledger.Attempt{Job: job, Task: task, Try: 1 + chance.IntN(2)})
+				both(ledger.Command{Kind: ledger.KindGrantLeases, Grant: grant})
+				attempts = append(attempts, ledger.Attempt{Job: job, Task: task, Number: 1 + chance.IntN(2)})
 			case 3:
-				whole.At += time.Duration(chance.IntN(3)) * 700 * time.Millisecond
-				brief.At = whole.At
+				whole.Now += time.Duration(chance.IntN(3)) * 700 * time.Millisecond
+				brief.Now = whole.Now
 				both(ledger.Command{Kind: ledger.KindTick})
 			case 4:
 				if chance.IntN(4) == 0 {
-					both(ledger.Command{Kind: ledger.KindCancel, Name: fmt.Sprintf("j%d", chance.IntN(step+1))})
+					both(ledger.Command{Kind: ledger.KindCancelJob, Name: fmt.Sprintf("j%d", chance.IntN(step+1))})
 				}
 			default:
 				numbers[worker]++
-				b := ledger.Beat{
-					Worker: worker, Incarnation: 1, Number: numbers[worker], Site: "a", Service: "tickets",
+				b := ledger.Heartbeat{
+					Worker: worker, Incarnation: 1, Number: numbers[worker], Zone: "a", Service: "tickets",
 					Free: room(8), Total: room(8),
 				}
-				for _, turn := range whole.Ledger.TurnsOn(worker) {
+				for _, turn := range whole.Store.LeasesOn(worker) {
 					if chance.IntN(8) > 0 {
 						b.Running = append(b.Running, turn.Attempt)
 					}
@@ -176,31 +176,31 @@
 					b.Running = append(b.Running, attempts[chance.IntN(len(attempts))])
 				}
 				if len(attempts) > 0 && chance.IntN(4) == 0 {
-					b.Ended = []ledger.End{{Attempt: attempts[chance.IntN(len(attempts))], Good: chance.IntN(2) == 0}}
+					b.Ended = []ledger.AttemptResult{{Attempt: attempts[chance.IntN(len(attempts))], Succeeded: chance.IntN(2) == 0}}
 				}
-				cmd := ledger.Command{Kind: ledger.KindBeat, Beat: b}
+				cmd := ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b}
 				var changes bool
-				if cmd.Beat, changes = brief.Ledger.Reduce(b); !changes {
+				if cmd.Heartbeat, changes = brief.Store.ReduceHeartbeat(b); !changes {
 					calm++
-					cmd = ledger.Command{Kind: ledger.KindRenew, Renew: []ledger.Renewal{
+					cmd = ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
 						{Worker: worker, Incarnation: 1, Number: b.Number},
 					}}
-				} else if cmd.Beat.Reduced {
+				} else if cmd.Heartbeat.Delta {
 					reduced++
 				}
-				want, got := whole.Do(ledger.Command{Kind: ledger.KindBeat, Beat: b}), brief.Do(cmd)
-				if diff := cmp.Diff(want.Orders.Acks, got.Orders.Acks); changes && diff != "" {
+				want, got := whole.Apply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b}), brief.Apply(cmd)
+				if diff := cmp.Diff(want.Heartbeat.Acks, got.Heartbeat.Acks); changes && diff != "" {
 					t.Fatalf("seed %d step %d: acks %s", seed, step, diff)
 				}
 			}
 			if step%10 == 0 {
-				same(t, whole.Ledger)
+				same(t, whole.Store)
 			}
-			if want, got := whole.Ledger.Records(), brief.Ledger.Records(); !reflect.DeepEqual(want, got) {
+			if want, got := whole.Store.Records(), brief.Store.Records(); !reflect.DeepEqual(want, got) {
 				t.Fatalf("seed %d step %d: %s", seed, step, cmp.Diff(want, got))
 			}
 		}
-		same(t, brief.Ledger)
+		same(t, brief.Store)
 	}
 	if calm < 200 || reduced < 200 {
 		t.Errorf("only %d calm and %d reduced reports were played", calm, reduced)
@@ -209,59 +209,59 @@
 
 func TestARenewalExtendsLeases(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(1)})
-	before, _ := w.Ledger.Worker("w")
-	w.Pass(2 * time.Second)
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	before, _ := w.Store.Worker("w")
+	w.Advance(2 * time.Second)
 	renewals := []ledger.Renewal{
-		{Worker: "w", Incarnation: 1, Number: 5, Ago: 300 * time.Millisecond},
+		{Worker: "w", Incarnation: 1, Number: 5, Age: 300 * time.Millisecond},
 		{Worker: "unknown", Incarnation: 1, Number: 1},
 	}
-	w.Must(ledger.Command{Kind: ledger.KindRenew, Renew: renewals})
-	after, _ := w.Ledger.Worker("w")
-	if after.SeenAt != w.At-300*time.Millisecond || after.CutoffAt != after.SeenAt+6*time.Second || after.Number != 5 {
-		t.Errorf("was %+v, is %+v at %s", before, after, w.At)
+	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: renewals})
+	after, _ := w.Store.Worker("w")
+	if after.LastSeenAt != w.Now-300*time.Millisecond || after.LeaseExpiresAt != after.LastSeenAt+6*time.Second || after.Number != 5 {
+		t.Errorf("was %+v, is %+v at %s", before, after, w.Now)
 	}
-	if _, known := w.Ledger.Worker("unknown"); known {
+	if _, known := w.Store.Worker("unknown"); known {
 		t.Error("a renewal made a worker")
 	}
-	w.Must(ledger.Command{Kind: ledger.KindRenew, Renew: []ledger.Renewal{
-		{Worker: "w", Incarnation: 1, Number: 4, Ago: 4 * time.Second},
+	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
+		{Worker: "w", Incarnation: 1, Number: 4, Age: 4 * time.Second},
 	}})
-	if again, _ := w.Ledger.Worker("w"); again.SeenAt != after.SeenAt || again.CutoffAt != after.CutoffAt ||
+	if again, _ := w.Store.Worker("w"); again.LastSeenAt != after.LastSeenAt || again.LeaseExpiresAt != after.LeaseExpiresAt ||
 		again.Number != 5 {
 		t.Errorf("a renewal that is late took back %+v to %+v", after, again)
 	}
-	same(t, w.Ledger)
+	same(t, w.Store)
 }
 
 // TestALeaseIsLoadedFromASnapshot loads the records of each state that a lease goes
 // through, and finds no record of a worker that is forgotten.
 func TestALeaseIsLoadedFromASnapshot(t *testing.T) {
 	w := ledgertest.New(t)
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(1)})
-	same(t, w.Ledger)
-	w.Must(ledger.Command{Kind: ledger.KindRenew, Renew: []ledger.Renewal{{Worker: "w", Incarnation: 1, Number: 7}}})
-	same(t, w.Ledger)
-	w.Pass(time.Second)
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: reportOf(8)})
-	same(t, w.Ledger)
-	w.Job("j", "quick", "a")
-	grant := ledger.Grant{Duty: ledgertest.Duty, Epoch: 1, Picks: []ledger.Pick{
-		{Job: "j", Task: "a", Worker: "w", Beat: 12},
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	same(t, w.Store)
+	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{{Worker: "w", Incarnation: 1, Number: 7}}})
+	same(t, w.Store)
+	w.Advance(time.Second)
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(8)})
+	same(t, w.Store)
+	w.AcceptJob("j", "quick", "a")
+	grant := ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{
+		{Job: "j", Task: "a", Worker: "w", HeartbeatNumber: 12},
 	}}
-	w.Must(ledger.Command{Kind: ledger.KindGrant, Grant: grant})
-	if turn := w.Ledger.TurnsOn("w")[0].Turn; turn.Beat != 12 {
-		t.Errorf("the turn was granted on report %d", turn.Beat)
+	w.MustApply(ledger.Command{Kind: ledger.KindGrantLeases, Grant: grant})
+	if turn := w.Store.LeasesOn("w")[0].Lease; turn.HeartbeatNumber != 12 {
+		t.Errorf("the turn was granted on report %d", turn.HeartbeatNumber)
 	}
-	same(t, w.Ledger)
+	same(t, w.Store)
 	again := reportOf(1)
 	again.Incarnation = 2
-	w.Must(ledger.Command{Kind: ledger.KindBeat, Beat: again})
-	same(t, w.Ledger)
-	w.Pass(time.Hour)
-	w.Must(ledger.Command{Kind: ledger.KindTick})
-	same(t, w.Ledger)
-	for _, r := range w.Ledger.Records() {
+	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: again})
+	same(t, w.Store)
+	w.Advance(time.Hour)
+	w.MustApply(ledger.Command{Kind: ledger.KindTick})
+	same(t, w.Store)
+	for _, r := range w.Store.Records() {
 		if r.Bucket == "worker" {
 			t.Errorf("the record of a forgotten worker is kept: %s", r.Key)
 		}
--- a/core/ledger/room_test.go
+++ b/core/ledger/room_test.go
@@ -13,30 +13,30 @@
 func TestRoomOfAWorkerThatReportsItsTotal(t *testing.T) {
 	l := ledger.New()
 	sequence := uint64(0)
-	do := func(cmd ledger.Command) ledger.Answer {
+	do := func(cmd ledger.Command) ledger.Result {
 		sequence++
-		cmd.Position = ledger.Position{Epoch: 1, Sequence: sequence}
+		cmd.LogPosition = ledger.LogPosition{Epoch: 1, Index: sequence}
 		return l.Apply(cmd)
 	}
 	body := `{"services":{"s":{"anyLabel":true,"classes":{"c":{"priority":1,"share":100,"silence":"restart"}}}},"policies":{"borrow":"true"},"limits":{"endsAtCutoff":true}}`
-	if a := do(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Body: []byte(body)}}); !a.Code.Good() {
+	if a := do(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Body: []byte(body)}}); !a.Code.IsSuccess() {
 		t.Fatal(a)
 	}
-	do(ledger.Command{Kind: ledger.KindTake, Name: "d", Hello: ledger.Hello{Daemon: "x"}})
-	step := ledger.StepSpec{Count: 3, Room: ledger.Room{Slots: 40}}
-	if a := do(ledger.Command{Kind: ledger.KindAccept, Accept: ledger.JobSpec{ID: "j", Service: "s", Class: "c", Steps: []ledger.StepSpec{step}}}); !a.Code.Good() {
+	do(ledger.Command{Kind: ledger.KindTakeLeadership, Name: "d", SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "x"}})
+	step := ledger.StepSpec{Count: 3, Resources: ledger.Resources{Slots: 40}}
+	if a := do(ledger.Command{Kind: ledger.KindAcceptJob, Job: ledger.JobSpec{ID: "j", Service: "s", Class: "c", Steps: []ledger.StepSpec{step}}}); !a.Code.IsSuccess() {
 		t.Fatal(a)
 	}
 	number := uint64(0)
 	beat := func(running ...ledger.Attempt) {
 		number++
-		total := plan.Room{Slots: 100}
-		do(ledger.Command{Kind: ledger.KindBeat, Beat: ledger.Beat{Worker: "w", Incarnation: 1, Number: number, Service: "s", Site: "a", Free: total, Total: total, Running: running}})
+		total := plan.Resources{Slots: 100}
+		do(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: ledger.Heartbeat{Worker: "w", Incarnation: 1, Number: number, Service: "s", Zone: "a", Free: total, Total: total, Running: running}})
 	}
 	grant := func(task string) code.Code {
-		return do(ledger.Command{Kind: ledger.KindGrant, Grant: ledger.Grant{Duty: "d", Epoch: 1, Picks: []ledger.Pick{{Job: "j", Task: task, Worker: "w"}}}}).Code
+		return do(ledger.Command{Kind: ledger.KindGrantLeases, Grant: ledger.Grant{Leadership: "d", Epoch: 1, Assignments: []ledger.Assignment{{Job: "j", Task: task, Worker: "w"}}}}).Code
 	}
-	at := func(task string, try int) ledger.Attempt { return ledger.Attempt{Job: "j", Task: task, Try: try} }
+	at := func(task string, try int) ledger.Attempt { return ledger.Attempt{Job: "j", Task: task, Number: try} }
 	beat()
 	for _, task := range []string{"0.0.0", "0.0.1"} {
 		if c := grant(task); c != code.OK {
@@ -44,13 +44,13 @@
 		}
 	}
 	beat(at("0.0.0", 1), at("0.0.1", 1))
-	if c := grant("0.0.2"); c != code.NoRoom {
+	if c := grant("0.0.2"); c != code.InsufficientResources {
 		t.Errorf("with 80 of 100 running, 40 more: %v", c)
 	}
 	// The first ends, but an attempt that is no turn runs beside the second.
-	do(ledger.Command{Kind: ledger.KindCancel, Name: "none"})
+	do(ledger.Command{Kind: ledger.KindCancelJob, Name: "none"})
 	beat(at("0.0.1", 1), at("0.0.2", 9))
-	if room := l.Room("w"); room.Slots != 20 {
+	if room := l.FreeResources("w"); room.Slots != 20 {
 		t.Errorf("beside a stray attempt of 40 and a turn of 40 there are %d of 100 left", room.Slots)
 	}
 }
--- a/core/ledger/tail.go
+++ b/core/ledger/tail.go
@@ -11,35 +11,35 @@
 // A tail keeps at least TailMax commands or TailBytes of them, whichever are
 // fewer, and at most twice as many.
 const (
-	TailMax   = 8192
-	TailBytes = 16 << 20
+	LogSuffixCommands = 8192
+	LogSuffixBytes    = 16 << 20
 )
 
 // Tail begins after a base position; its commands follow without a gap.
-type Tail struct {
-	base      Position
-	positions []Position
+type LogSuffix struct {
+	base      LogPosition
+	positions []LogPosition
 	encoded   []json.RawMessage
 	bytes     int
 }
 
 // TailFrom is an empty tail at a position.
-func TailFrom(base Position) Tail { return Tail{base: base} }
+func NewLogSuffix(base LogPosition) LogSuffix { return LogSuffix{base: base} }
 
 // Add takes the next command.
-func (t *Tail) Add(cmd Logged) {
-	t.positions = append(t.positions, cmd.Position)
+func (t *LogSuffix) Append(cmd EncodedCommand) {
+	t.positions = append(t.positions, cmd.LogPosition)
 	t.encoded = append(t.encoded, cmd.Encoded)
 	t.bytes += len(cmd.Encoded)
-	if len(t.positions) >= 2*TailMax || t.bytes >= 2*TailBytes {
+	if len(t.positions) >= 2*LogSuffixCommands || t.bytes >= 2*LogSuffixBytes {
 		t.trim()
 	}
 }
 
 // trim drops the oldest commands until the rest is within both bounds.
-func (t *Tail) trim() {
+func (t *LogSuffix) trim() {
 	drop := 0
-	for len(t.positions)-drop > TailMax || t.bytes > TailBytes {
+	for len(t.positions)-drop > LogSuffixCommands || t.bytes > LogSuffixBytes {
 		t.base = t.positions[drop]
 		t.bytes -= len(t.encoded[drop])
 		drop++
@@ -49,15 +49,15 @@
 }
 
 // Base is the position that the tail begins after.
-func (t *Tail) Base() Position { return t.base }
+func (t *LogSuffix) Base() LogPosition { return t.base }
 
 // after gives the index of the first command after a position, if the position
 // stands in this history and the tail reaches back to it.
-func (t *Tail) after(at Position) (int, bool) {
+func (t *LogSuffix) indexAfter(at LogPosition) (int, bool) {
 	if at == t.base {
 		return 0, true
 	}
-	i := int64(at.Sequence) - int64(t.base.Sequence) - 1
+	i := int64(at.Index) - int64(t.base.Index) - 1
 	if i < 0 || i >= int64(len(t.positions)) || t.positions[i] != at {
 		return 0, false
 	}
@@ -65,15 +65,15 @@
 }
 
 // Holds says whether a position stands in this history, as far as the tail reaches.
-func (t *Tail) Holds(at Position) bool {
-	_, ok := t.after(at)
+func (t *LogSuffix) Contains(at LogPosition) bool {
+	_, ok := t.indexAfter(at)
 	return ok
 }
 
 // Since gives the encoded commands after a position, if the tail reaches back to
 // it and the position stands in this history.
-func (t *Tail) Since(at Position) ([]json.RawMessage, bool) {
-	i, ok := t.after(at)
+func (t *LogSuffix) CommandsAfter(at LogPosition) ([]json.RawMessage, bool) {
+	i, ok := t.indexAfter(at)
 	if !ok {
 		return nil, false
 	}
@@ -82,9 +82,9 @@
 
 // Window gives the first commands after a position, up to another one, bounded in
 // number and bytes but at least one; and the position that they end at.
-func (t *Tail) Window(from, to Position, entries, bytes int) ([]json.RawMessage, Position, bool) {
-	start, ok := t.after(from)
-	limit, known := t.after(to)
+func (t *LogSuffix) Window(from, to LogPosition, entries, bytes int) ([]json.RawMessage, LogPosition, bool) {
+	start, ok := t.indexAfter(from)
+	limit, known := t.indexAfter(to)
 	if !ok || !known || limit < start {
 		return nil, from, false
 	}
@@ -103,9 +103,9 @@
 
 // Within says whether no more than so many commands and bytes lie between two
 // positions of this history.
-func (t *Tail) Within(from, to Position, entries, bytes int) bool {
-	start, ok := t.after(from)
-	end, known := t.after(to)
+func (t *LogSuffix) Within(from, to LogPosition, entries, bytes int) bool {
+	start, ok := t.indexAfter(from)
+	end, known := t.indexAfter(to)
 	if !ok || !known || end-start > entries {
 		return false
 	}
@@ -117,32 +117,32 @@
 }
 
 // At gives the position of a sequence in this history, if the tail reaches back to it.
-func (t *Tail) At(sequence uint64) (Position, bool) {
-	if sequence == t.base.Sequence {
+func (t *LogSuffix) PositionOf(sequence uint64) (LogPosition, bool) {
+	if sequence == t.base.Index {
 		return t.base, true
 	}
-	i := int64(sequence) - int64(t.base.Sequence) - 1
+	i := int64(sequence) - int64(t.base.Index) - 1
 	if i < 0 || i >= int64(len(t.positions)) {
-		return Position{}, false
+		return LogPosition{}, false
 	}
 	return t.positions[i], true
 }
 
 // NotAfter gives the last position of this history that another history, which has
 // come to a given position, can have in common with it.
-func (t *Tail) NotAfter(at Position) (Position, bool) {
+func (t *LogSuffix) LastPossiblyCommon(at LogPosition) (LogPosition, bool) {
 	n := sort.Search(len(t.positions), func(i int) bool {
-		return t.positions[i].Epoch > at.Epoch || t.positions[i].Sequence > at.Sequence
+		return t.positions[i].Epoch > at.Epoch || t.positions[i].Index > at.Index
 	})
 	if n > 0 {
 		return t.positions[n-1], true
 	}
-	return t.base, t.base.Epoch <= at.Epoch && t.base.Sequence <= at.Sequence
+	return t.base, t.base.Epoch <= at.Epoch && t.base.Index <= at.Index
 }
 
 // Cut drops all commands after a position and says how many they were.
-func (t *Tail) Cut(at Position) int {
-	i, ok := t.after(at)
+func (t *LogSuffix) TruncateAfter(at LogPosition) int {
+	i, ok := t.indexAfter(at)
 	if !ok {
 		return 0
 	}
--- a/core/ledger/workers.go
+++ b/core/ledger/workers.go
@@ -8,40 +8,40 @@
 )
 
 // setWorker is the only way a worker changes; it keeps the ordered list right.
-func (l *Ledger) setWorker(w Worker) {
-	l.forgetBusyness(l.workers[w.ID()], w)
+func (l *Store) setWorker(w Worker) {
+	l.invalidateServiceLoad(l.workers[w.ID()], w)
 	l.workers[w.ID()] = w
-	if l.byName == nil {
+	if l.workerList == nil {
 		return
 	}
-	i, known := l.workerPlace(w.ID())
+	i, known := l.workerIndex(w.ID())
 	if !known {
-		l.byName = slices.Insert(l.byName, i, w)
+		l.workerList = slices.Insert(l.workerList, i, w)
 		return
 	}
-	l.byName[i] = w
+	l.workerList[i] = w
 }
 
-func (l *Ledger) forgetWorker(id string) {
-	delete(l.busy, l.workers[id].Service)
+func (l *Store) forgetWorker(id string) {
+	delete(l.serviceLoads, l.workers[id].Service)
 	delete(l.workers, id)
-	if i, known := l.workerPlace(id); known {
-		l.byName = slices.Delete(l.byName, i, i+1)
+	if i, known := l.workerIndex(id); known {
+		l.workerList = slices.Delete(l.workerList, i, i+1)
 	}
 }
 
-func (l *Ledger) workerPlace(id string) (int, bool) {
-	return slices.BinarySearchFunc(l.byName, id, func(w Worker, id string) int { return cmp.Compare(w.ID(), id) })
+func (l *Store) workerIndex(id string) (int, bool) {
+	return slices.BinarySearchFunc(l.workerList, id, func(w Worker, id string) int { return cmp.Compare(w.ID(), id) })
 }
 
 // Workers gives all workers by name. The list is shared: it is not to be changed,
 // and good until the next command.
-func (l *Ledger) Workers() []Worker {
-	if l.byName == nil {
-		l.byName = make([]Worker, 0, len(l.workers))
+func (l *Store) Workers() []Worker {
+	if l.workerList == nil {
+		l.workerList = make([]Worker, 0, len(l.workers))
 		for _, id := range slices.Sorted(maps.Keys(l.workers)) {
-			l.byName = append(l.byName, l.workers[id])
+			l.workerList = append(l.workerList, l.workers[id])
 		}
 	}
-	return l.byName
+	return l.workerList
 }
--- a/core/ledgertest/ledgertest.go
+++ b/core/ledgertest/ledgertest.go
@@ -16,7 +16,7 @@
 	"sorrelloom/core/machine"
 )
 
-const Plan = `{"services":{
+const Config = `{"services":{
  "tickets":{"largestWorker":{"slots":8,"cores":64},"labels":["ssd","gpu"],"classes":{
   "quick":{"priority":100,"share":50,"quick":true,"runLimit":"5s","silence":"restart"},"batch":{"priority":10,"share":50},"small":{"priority":10,"share":0,"inboxMax":3}}},
  "podcasts":{"largestWorker":{"slots":8,"cores":16},"classes":{"quick":{"priority":100,"share":100}}}},
@@ -26,51 +26,51 @@
 // The first commands of a world are all checked against a capture and a replay, which
 // cost as much as the whole ledger; of those after them some are.
 const (
-	checkedAll  = 300
-	checkedEach = 1000
+	alwaysChecked = 300
+	checkInterval = 1000
 )
 
 // World is a ledger with its clock.
-type World struct {
-	T      *testing.T
-	Ledger *ledger.Ledger
-	At     time.Duration
-	beats  map[string]ledger.Beat
-	count  int
+type Fixture struct {
+	T            *testing.T
+	Store        *ledger.Store
+	Now          time.Duration
+	heartbeats   map[string]ledger.Heartbeat
+	commandCount int
 }
 
-const Duty = "dispatch/a"
+const Leadership = "dispatch/a"
 
 // New founds a ledger with the plan and the duty at epoch 1.
-func New(t *testing.T) *World {
-	w := &World{T: t, Ledger: ledger.New(), At: time.Second, beats: map[string]ledger.Beat{}}
-	w.Must(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{Body: []byte(Plan)}})
-	w.Must(ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{Daemon: "s1", Site: "a", Want: Duty, For: "s1"}})
+func New(t *testing.T) *Fixture {
+	w := &Fixture{T: t, Store: ledger.New(), Now: time.Second, heartbeats: map[string]ledger.Heartbeat{}}
+	w.MustApply(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Body: []byte(Config)}})
+	w.MustApply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: Leadership, Candidate: "s1"}})
 	return w
 }
 
 // Do applies a command one millisecond later. A capture of the ledger before it must
 // stay as it was, and a copy that takes the encoded command must become the same.
-func (w *World) Do(cmd ledger.Command) ledger.Answer {
+func (w *Fixture) Apply(cmd ledger.Command) ledger.Result {
 	w.T.Helper()
-	w.At += time.Millisecond
-	cmd.At, cmd.Position = w.At, ledger.Position{Epoch: 1, Sequence: w.Ledger.Position().Sequence + 1}
-	if w.count++; w.count > checkedAll && w.count%checkedEach != 0 {
-		return w.Ledger.Apply(cmd)
+	w.Now += time.Millisecond
+	cmd.Time, cmd.LogPosition = w.Now, ledger.LogPosition{Epoch: 1, Index: w.Store.Position().Index + 1}
+	if w.commandCount++; w.commandCount > alwaysChecked && w.commandCount%checkInterval != 0 {
+		return w.Store.Apply(cmd)
 	}
-	capture, before := w.Ledger.Capture(), w.Ledger.Records()
-	answer := w.Ledger.Apply(cmd)
+	capture, before := w.Store.Snapshot(), w.Store.Records()
+	answer := w.Store.Apply(cmd)
 	if after := slices.Collect(capture.Records()); !reflect.DeepEqual(before, after) {
 		w.T.Errorf("%s changed a capture: %s", cmd.Kind, cmp.Diff(before, after))
 	}
-	if again := capture.Ledger().Records(); !reflect.DeepEqual(before, again) {
+	if again := capture.Store().Records(); !reflect.DeepEqual(before, again) {
 		w.T.Errorf("a capture from before %s gives another ledger: %s", cmd.Kind, cmp.Diff(before, again))
 	}
 	w.replay(before, cmd)
 	return answer
 }
 
-func (w *World) replay(before []machine.Record, cmd ledger.Command) {
+func (w *Fixture) replay(before []machine.Record, cmd ledger.Command) {
 	w.T.Helper()
 	copied, err := ledger.Load(before)
 	if err != nil {
@@ -81,62 +81,62 @@
 		w.T.Fatal(err)
 	}
 	copied.Apply(logged.Command)
-	if want, got := w.Ledger.Records(), copied.Records(); !reflect.DeepEqual(want, got) {
+	if want, got := w.Store.Records(), copied.Records(); !reflect.DeepEqual(want, got) {
 		w.T.Errorf("%s has another outcome when it is replayed: %s", cmd.Kind, cmp.Diff(want, got))
 	}
 }
 
-func (w *World) Must(cmd ledger.Command) ledger.Answer {
+func (w *Fixture) MustApply(cmd ledger.Command) ledger.Result {
 	w.T.Helper()
-	a := w.Do(cmd)
-	if !a.Code.Good() {
-		w.T.Fatalf("%s: %v %s", cmd.Kind, a.Code, a.Why)
+	a := w.Apply(cmd)
+	if !a.Code.IsSuccess() {
+		w.T.Fatalf("%s: %v %s", cmd.Kind, a.Code, a.Reason)
 	}
 	return a
 }
 
 // Worker brings in a worker with so many free slots; an id may carry labels
 // after a plus sign, such as "w1+ssd", and a service before a slash.
-func (w *World) Worker(name string, slots int) {
+func (w *Fixture) AddWorker(name string, slots int) {
 	service, id := "tickets", name
 	if s, rest, ok := strings.Cut(name, "/"); ok {
 		service, id = s, rest
 	}
 	parts := strings.Split(id, "+")
-	w.beats[parts[0]] = ledger.Beat{Worker: parts[0], Incarnation: 1, Site: "a", Service: service, Labels: parts[1:], Free: ledger.Room{Slots: slots, Cores: 64}}
-	w.Beat(parts[0], nil)
+	w.heartbeats[parts[0]] = ledger.Heartbeat{Worker: parts[0], Incarnation: 1, Zone: "a", Service: service, Labels: parts[1:], Free: ledger.Resources{Slots: slots, Cores: 64}}
+	w.Heartbeat(parts[0], nil)
 }
 
 // Beat sends a worker's next beat, changed as asked.
-func (w *World) Beat(id string, change func(*ledger.Beat)) ledger.Answer {
-	b := w.beats[id]
+func (w *Fixture) Heartbeat(id string, change func(*ledger.Heartbeat)) ledger.Result {
+	b := w.heartbeats[id]
 	b.Number++
 	b.Ended, b.Running = nil, append([]ledger.Attempt(nil), b.Running...)
 	if change != nil {
 		change(&b)
 	}
-	w.beats[id] = b
-	return w.Do(ledger.Command{Kind: ledger.KindBeat, Beat: b})
+	w.heartbeats[id] = b
+	return w.Apply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
 }
 
 // Job accepts a job. Tasks are written "b<a:2" for b after a with 2 slots; a
 // gang stands in brackets, "x[g]", labels after a plus sign.
-func (w *World) Job(id, class string, tasks ...string) ledger.Answer {
-	return w.Do(ledger.Command{Kind: ledger.KindAccept, Accept: Spec(id, class, tasks...)})
+func (w *Fixture) AcceptJob(id, class string, tasks ...string) ledger.Result {
+	return w.Apply(ledger.Command{Kind: ledger.KindAcceptJob, Job: JobSpec(id, class, tasks...)})
 }
 
-func Spec(id, class string, tasks ...string) ledger.JobSpec {
+func JobSpec(id, class string, tasks ...string) ledger.JobSpec {
 	spec := ledger.JobSpec{ID: id, Service: "tickets", Class: class}
 	for _, text := range tasks {
-		t := ledger.TaskSpec{Room: ledger.Room{Slots: 1}}
+		t := ledger.TaskSpec{Resources: ledger.Resources{Slots: 1}}
 		if before, slots, ok := strings.Cut(text, ":"); ok {
-			text, t.Room.Slots = before, int(slots[0]-'0')
+			text, t.Resources.Slots = before, int(slots[0]-'0')
 		}
 		if before, label, ok := strings.Cut(text, "+"); ok {
 			text, t.Labels = before, []string{label}
 		}
 		if before, after, ok := strings.Cut(text, "<"); ok {
-			text, t.After = before, strings.Split(after, ",")
+			text, t.DependsOn = before, strings.Split(after, ",")
 		}
 		if before, gang, ok := strings.Cut(text, "["); ok {
 			text, t.Gang = before, strings.TrimSuffix(gang, "]")
@@ -148,55 +148,55 @@
 }
 
 // Grant asks for turns, "job/task@worker" each, under the current duty.
-func (w *World) Grant(picks ...string) code.Code {
-	g := ledger.Grant{Duty: Duty, Epoch: w.Ledger.Duty(Duty).Epoch}
+func (w *Fixture) Grant(picks ...string) code.Code {
+	g := ledger.Grant{Leadership: Leadership, Epoch: w.Store.Leadership(Leadership).Epoch}
 	for _, text := range picks {
 		at, worker, _ := strings.Cut(text, "@")
 		job, task, _ := strings.Cut(at, "/")
-		g.Picks = append(g.Picks, ledger.Pick{Job: job, Task: task, Worker: worker})
+		g.Assignments = append(g.Assignments, ledger.Assignment{Job: job, Task: task, Worker: worker})
 	}
-	return w.Do(ledger.Command{Kind: ledger.KindGrant, Grant: g}).Code
+	return w.Apply(ledger.Command{Kind: ledger.KindGrantLeases, Grant: g}).Code
 }
 
 // Start grants one task and has the worker list it as running.
-func (w *World) Start(pick string) ledger.Attempt {
+func (w *Fixture) StartTask(pick string) ledger.Attempt {
 	w.T.Helper()
 	if c := w.Grant(pick); c != code.OK {
 		w.T.Fatalf("grant %s: %v", pick, c)
 	}
 	at, worker, _ := strings.Cut(pick, "@")
 	job, task, _ := strings.Cut(at, "/")
-	a := ledger.Attempt{Job: job, Task: task, Try: w.Task(at).Turn.Try}
-	w.Beat(worker, func(b *ledger.Beat) { b.Running = append(b.Running, a); b.Free.Slots-- })
+	a := ledger.Attempt{Job: job, Task: task, Number: w.Task(at).Lease.AttemptNumber}
+	w.Heartbeat(worker, func(b *ledger.Heartbeat) { b.Running = append(b.Running, a); b.Free.Slots-- })
 	return a
 }
 
 // End has the worker report an attempt's end.
-func (w *World) End(worker string, end ledger.End) ledger.Answer {
-	return w.Beat(worker, func(b *ledger.Beat) {
+func (w *Fixture) EndAttempt(worker string, end ledger.AttemptResult) ledger.Result {
+	return w.Heartbeat(worker, func(b *ledger.Heartbeat) {
 		var left []ledger.Attempt
 		for _, a := range b.Running {
 			if a != end.Attempt {
 				left = append(left, a)
 			}
 		}
-		b.Running, b.Ended = left, []ledger.End{end}
+		b.Running, b.Ended = left, []ledger.AttemptResult{end}
 		b.Free.Slots++
 	})
 }
 
 // Finish runs a task to its good end.
-func (w *World) Finish(pick string) {
+func (w *Fixture) FinishTask(pick string) {
 	w.T.Helper()
 	_, worker, _ := strings.Cut(pick, "@")
-	w.End(worker, ledger.End{Attempt: w.Start(pick), Good: true})
+	w.EndAttempt(worker, ledger.AttemptResult{Attempt: w.StartTask(pick), Succeeded: true})
 }
 
 // Task looks a task up by "job/task".
-func (w *World) Task(at string) ledger.Task {
+func (w *Fixture) Task(at string) ledger.Task {
 	w.T.Helper()
 	id, task, _ := strings.Cut(at, "/")
-	job, _ := w.Ledger.Job(id)
+	job, _ := w.Store.Job(id)
 	for i, spec := range job.Spec.Tasks {
 		if spec.ID == task {
 			return job.Tasks[i]
@@ -207,7 +207,7 @@
 }
 
 // Pass lets time go by and ticks.
-func (w *World) Pass(d time.Duration) {
-	w.At += d
-	w.Do(ledger.Command{Kind: ledger.KindTick})
+func (w *Fixture) Advance(d time.Duration) {
+	w.Now += d
+	w.Apply(ledger.Command{Kind: ledger.KindTick})
 }
--- a/core/machine/disk.go
+++ b/core/machine/disk.go
@@ -8,45 +8,47 @@
 
 // Disk is a keeper's disk in memory, for the simulator and for tests: it keeps
 // what the store of a daemon would find again. Its zero value is an empty disk.
-type Disk struct {
+type MemoryDisk struct {
 	// SnapshotEach is how many bytes of log make a snapshot due; 0 is never.
-	SnapshotEach int
+	SnapshotThreshold int
 
-	own      []Record
-	ledger   []Record
-	commands []json.RawMessage
-	history  []json.RawMessage
-	logged   int
+	replicaRecords         []Record
+	stateRecords           []Record
+	commands               []json.RawMessage
+	commandsBeforeSnapshot []json.RawMessage
+	loggedBytes            int
 }
 
 // Apply makes one batch last.
-func (d *Disk) Apply(w Write) {
-	for _, r := range w.Records {
-		d.own = slices.DeleteFunc(d.own, func(o Record) bool { return o.Bucket == r.Bucket && o.Key == r.Key })
-		d.own = append(d.own, r)
+func (d *MemoryDisk) Apply(write Write) {
+	for _, r := range write.Records {
+		d.replicaRecords = slices.DeleteFunc(d.replicaRecords, func(o Record) bool { return o.Bucket == r.Bucket && o.Key == r.Key })
+		d.replicaRecords = append(d.replicaRecords, r)
 	}
-	d.commands = d.commands[:len(d.commands)-w.Drop]
-	for _, c := range w.Commands {
+	d.commands = d.commands[:len(d.commands)-write.TruncateCount]
+	for _, c := range write.Commands {
 		d.commands = append(d.commands, c)
-		d.logged += len(c)
+		d.loggedBytes += len(c)
 	}
-	if w.Snapshot == nil {
+	if write.Snapshot == nil {
 		return
 	}
-	if d.history = d.commands; w.Replace {
-		d.history = nil
+	if d.commandsBeforeSnapshot = d.commands; write.ReplaceLog {
+		d.commandsBeforeSnapshot = nil
 	}
-	d.ledger, d.commands, d.logged = slices.Collect(w.Snapshot), nil, 0
+	d.stateRecords, d.commands, d.loggedBytes = slices.Collect(write.Snapshot), nil, 0
 }
 
 // SnapshotDue says whether the log has grown long.
-func (d *Disk) SnapshotDue() bool { return d.SnapshotEach > 0 && d.logged > d.SnapshotEach }
+func (d *MemoryDisk) SnapshotDue() bool {
+	return d.SnapshotThreshold > 0 && d.loggedBytes > d.SnapshotThreshold
+}
 
 // Stored is what a keeper that starts finds.
-func (d *Disk) Stored() Stored {
-	return Stored{
-		Records:  slices.Concat(d.own, d.ledger),
-		Commands: slices.Clone(d.commands),
-		History:  slices.Clone(d.history),
+func (d *MemoryDisk) Load() StoredState {
+	return StoredState{
+		Records:                slices.Concat(d.replicaRecords, d.stateRecords),
+		Commands:               slices.Clone(d.commands),
+		CommandsBeforeSnapshot: slices.Clone(d.commandsBeforeSnapshot),
 	}
 }
--- a/core/machine/machine.go
+++ b/core/machine/machine.go
@@ -10,38 +10,38 @@
 )
 
 // Send is a line to be sent. Those that Broadcast made share their encoding.
-type Send struct {
-	To     string
-	Kind   string
-	Body   any
-	shared *encoded
+type OutgoingMessage struct {
+	To             string
+	Kind           string
+	Body           any
+	sharedEncoding *encodedBody
 }
 
 // encoded is a body's encoding, made when the first receiver's line is sent.
-type encoded struct {
+type encodedBody struct {
 	data []byte
 	err  error
 }
 
 // Encode gives the body's encoding, which must not be changed.
-func (s Send) Encode() ([]byte, error) {
-	if s.shared == nil {
+func (s OutgoingMessage) Encode() ([]byte, error) {
+	if s.sharedEncoding == nil {
 		return Marshal(s.Body)
 	}
-	if s.shared.data == nil && s.shared.err == nil {
-		s.shared.data, s.shared.err = Marshal(s.Body)
+	if s.sharedEncoding.data == nil && s.sharedEncoding.err == nil {
+		s.sharedEncoding.data, s.sharedEncoding.err = Marshal(s.Body)
 	}
-	return s.shared.data, s.shared.err
+	return s.sharedEncoding.data, s.sharedEncoding.err
 }
 
 // Keyed is a body that replaces an earlier one of its key, if that still waits at
 // the receiver.
-type Keyed interface{ Key() string }
+type Coalescable interface{ CoalescingKey() string }
 
 // Key gives the key of a keyed body.
-func (s Send) Key() string {
-	if keyed, ok := s.Body.(Keyed); ok {
-		return keyed.Key()
+func (s OutgoingMessage) CoalescingKey() string {
+	if coalescable, ok := s.Body.(Coalescable); ok {
+		return coalescable.CoalescingKey()
 	}
 	return ""
 }
@@ -55,82 +55,82 @@
 
 // Ask is a request from outside: its key is handed back with the answer. Value
 // is a request that is decoded already.
-type Ask struct {
-	Value  any
-	Key    uint64
-	Kind   string
-	Name   string
-	Body   json.RawMessage
-	Wait   time.Duration
-	Base   uint64
-	Forced bool
-	Token  string
-	To     string
-	On     bool
+type Request struct {
+	Decoded        any
+	ID             uint64
+	Kind           string
+	Name           string
+	Body           json.RawMessage
+	Wait           time.Duration
+	BaseVersion    uint64
+	Force          bool
+	IdempotencyKey string
+	Target         string
+	Enable         bool
 }
 
-type Answer struct {
-	Key  uint64
-	Body any
+type Response struct {
+	RequestID uint64
+	Body      any
 }
 
 // Input is one thing that happened. Wall is the time of day, for those few
 // decisions that callers bind to it; it may jump. SnapshotDue comes with Wrote: the
 // log has grown long, and the next batch is to bring a snapshot.
 type Input struct {
-	Line        Line
-	Wrote       uint64
-	SnapshotDue bool
-	Ask         Ask
-	Stop        bool
-	Wall        time.Time
+	Message        Message
+	CompletedWrite uint64
+	SnapshotDue    bool
+	Request        Request
+	Stop           bool
+	WallTime       time.Time
 }
 
-type Event struct {
+type LogEvent struct {
 	Name   string
 	Fields []any
 }
 
 // Audit is one entry for the audit log; it may be lost without harm.
-type Audit struct {
-	Sequence uint64
-	Entry    json.RawMessage
+type AuditEntry struct {
+	Index uint64
+	Data  json.RawMessage
 }
 
 type Output struct {
-	Sends   []Send
-	Writes  []Write
-	Answers []Answer
-	Events  []Event
-	Audits  []Audit
-	Stopped bool
+	Messages     []OutgoingMessage
+	Writes       []Write
+	Responses    []Response
+	LogEvents    []LogEvent
+	AuditEntries []AuditEntry
+	Stopped      bool
 }
 
 func (o *Output) Send(to, kind string, body any) {
-	o.Sends = append(o.Sends, Send{To: to, Kind: kind, Body: body})
+	o.Messages = append(o.Messages, OutgoingMessage{To: to, Kind: kind, Body: body})
 }
 
 // Broadcast sends one body to several receivers, for whom it is encoded once.
 func (o *Output) Broadcast(receivers []string, kind string, body any) {
-	shared := &encoded{}
+	encoding := &encodedBody{}
 	for _, to := range receivers {
-		o.Sends = append(o.Sends, Send{To: to, Kind: kind, Body: body, shared: shared})
+		o.Messages = append(o.Messages, OutgoingMessage{To: to, Kind: kind, Body: body, sharedEncoding: encoding})
 	}
 }
 
-func (o *Output) Answer(key uint64, body any) {
-	o.Answers = append(o.Answers, Answer{Key: key, Body: body})
+func (o *Output) Respond(requestID uint64, body any) {
+	o.Responses = append(o.Responses, Response{RequestID: requestID, Body: body})
 }
 
 func (o *Output) Log(name string, fields ...any) {
-	o.Events = append(o.Events, Event{Name: name, Fields: fields})
+	o.LogEvents = append(o.LogEvents, LogEvent{Name: name, Fields: fields})
 }
 
 // Machine is stepped with one input at a time. Wakeup says when it wants to be
 // stepped with an empty input at the latest; zero is never.
 type Machine interface {
 	Step(now time.Duration, in Input) Output
-	Wakeup() time.Duration
+	NextTimer() time.Duration
 }
 
 // MustJSON encodes a value of our own types, which cannot fail.
--- a/core/machine/machine_test.go
+++ b/core/machine/machine_test.go
@@ -8,24 +8,24 @@
 
 func TestALineIsReadAsItWasWritten(t *testing.T) {
 	longest := strings.Repeat("n", 255)
-	for _, line := range []Line{
-		{Wire: 1, Kind: "beat", From: "10.0.0.1:7", Body: []byte(`{"id":1,"from":"x","body":"}"}`)},
-		{Wire: 1, Kind: "odd \"kind\"", From: "a\\b", Body: []byte("\x00\xff\n")},
-		{Wire: 255, Kind: "later", From: "x", Body: []byte{0}},
-		{Wire: 1, Kind: "empty", From: "x", Body: []byte{}},
-		{Wire: 1, Kind: "beat", From: "10.0.0.1:7", Key: "worker", Body: []byte{1}},
-		{Wire: 1, Kind: longest, From: longest, Key: longest, Body: []byte{1}},
+	for _, line := range []Message{
+		{Version: 1, Kind: "beat", From: "10.0.0.1:7", Body: []byte(`{"id":1,"from":"x","body":"}"}`)},
+		{Version: 1, Kind: "odd \"kind\"", From: "a\\b", Body: []byte("\x00\xff\n")},
+		{Version: 255, Kind: "later", From: "x", Body: []byte{0}},
+		{Version: 1, Kind: "empty", From: "x", Body: []byte{}},
+		{Version: 1, Kind: "beat", From: "10.0.0.1:7", CoalescingKey: "worker", Body: []byte{1}},
+		{Version: 1, Kind: longest, From: longest, CoalescingKey: longest, Body: []byte{1}},
 	} {
 		header, err := line.AppendHeader(nil)
 		if err != nil {
 			t.Errorf("%+v: %v", line, err)
 		}
 		data := append(header, line.Body...)
-		if got, err := Decode(data); err != nil || !reflect.DeepEqual(got, line) {
+		if got, err := DecodeMessage(data); err != nil || !reflect.DeepEqual(got, line) {
 			t.Errorf("%q is read as %+v, %v", data, got, err)
 		}
 		for length := range header {
-			if got, err := Decode(data[:length]); err == nil {
+			if got, err := DecodeMessage(data[:length]); err == nil {
 				t.Errorf("%d bytes of %q are read as %+v", length, data, got)
 			}
 		}
@@ -37,14 +37,14 @@
 		"", "\x00\x01a\x01b\x00", "\x01\x00\x01b\x00", "\x01\x01a\x00\x00", "\x01\x09a\x01b\x00",
 		"\x01\x01a\x01b\x05key", "\x01\x01a\x01b", "{", `{"wire":1,"kind":"a","from":"b"}`,
 	} {
-		if line, err := Decode([]byte(data)); err == nil {
+		if line, err := DecodeMessage([]byte(data)); err == nil {
 			t.Errorf("%q is read as %+v", data, line)
 		}
 	}
-	for _, line := range []Line{
-		{}, {Wire: 1, Kind: "a"}, {Wire: 1, From: "b"}, {Kind: "a", From: "b"}, {Wire: 256, Kind: "a", From: "b"},
-		{Wire: 1, Kind: strings.Repeat("k", 256), From: "b"}, {Wire: 1, Kind: "a", From: strings.Repeat("f", 256)},
-		{Wire: 1, Kind: "a", From: "b", Key: strings.Repeat("y", 256)},
+	for _, line := range []Message{
+		{}, {Version: 1, Kind: "a"}, {Version: 1, From: "b"}, {Kind: "a", From: "b"}, {Version: 256, Kind: "a", From: "b"},
+		{Version: 1, Kind: strings.Repeat("k", 256), From: "b"}, {Version: 1, Kind: "a", From: strings.Repeat("f", 256)},
+		{Version: 1, Kind: "a", From: "b", CoalescingKey: strings.Repeat("y", 256)},
 	} {
 		if header, err := line.AppendHeader(nil); err == nil {
 			t.Errorf("%+v is written as %q", line, header)
--- a/core/machine/send_test.go
+++ b/core/machine/send_test.go
@@ -19,7 +19,7 @@
 	out.Broadcast([]string{"a", "b", "c"}, "kind", counted{&times})
 	want := MustMarshal("body")
 	var receivers []string
-	for _, send := range out.Sends {
+	for _, send := range out.Messages {
 		receivers = append(receivers, send.To)
 		if data, err := send.Encode(); err != nil || !slices.Equal(data, want) || send.Kind != "kind" {
 			t.Errorf("%+v is encoded as %x, %v", send, data, err)
@@ -37,7 +37,7 @@
 	out.Broadcast([]string{"a"}, "kind", 2)
 	out.Send("a", "kind", 3)
 	for i, want := range []int{1, 1, 2, 3} {
-		data, err := out.Sends[i].Encode()
+		data, err := out.Messages[i].Encode()
 		if err != nil || !slices.Equal(data, MustMarshal(want)) {
 			t.Errorf("send %d is encoded as %x, %v", i, data, err)
 		}
@@ -47,7 +47,7 @@
 func TestABodyThatCannotBeEncodedIsAnError(t *testing.T) {
 	var out Output
 	out.Broadcast([]string{"a", "b"}, "kind", func() {})
-	for _, send := range out.Sends {
+	for _, send := range out.Messages {
 		if _, err := send.Encode(); err == nil {
 			t.Errorf("%s: no error", send.To)
 		}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -16,7 +16,7 @@
 
 // Env is what a member begins with: itself, whom it asks first, and the seed of its
 // random choices.
-type Env struct {
+type Config struct {
 	Self  wire.Node
 	Seeds []string
 	Seed  uint64
@@ -24,59 +24,59 @@
 
 const (
 	// shuffleEach is how often a part of the entries is exchanged.
-	shuffleEach = 300 * time.Millisecond
+	shuffleInterval = 300 * time.Millisecond
 	// forgetAfter is when an entry that its node does not renew is dropped.
-	forgetAfter = 6 * time.Second
+	entryTTL = 6 * time.Second
 	// graveFor is how long a dropped entry is remembered, so that it does not return.
-	graveFor = 2 * time.Minute
+	tombstoneTTL = 2 * time.Minute
 	// perRoleSite bounds the entries of one role in one site.
-	perRoleSite = 8
+	maxPerRoleAndZone = 8
 	// sampleSize is how many entries are sent in one exchange, beside the node itself.
-	sampleSize = 8
+	shuffleSize = 8
 )
 
 type entry struct {
-	node wire.Node
-	seen time.Duration
+	node      wire.Node
+	updatedAt time.Duration
 }
 
 // Member is one node of the membership; it is a machine.
-type Member struct {
-	env     Env
-	self    wire.Node
-	chance  *rand.Rand
-	entries map[string]entry
-	graves  map[string]entry
-	next    time.Duration
-	lost    bool // no keeper was known when this member last told its own daemon
+type Gossiper struct {
+	config         Config
+	self           wire.Node
+	rng            *rand.Rand
+	entries        map[string]entry
+	tombstones     map[string]entry
+	nextShuffle    time.Duration
+	withoutReplica bool // no keeper was known when this member last told its own daemon
 }
 
 // New makes a member that knows only itself.
-func New(env Env) *Member {
-	return &Member{
-		env:     env,
-		self:    env.Self,
-		chance:  rand.New(rand.NewPCG(env.Seed, 1)),
-		entries: map[string]entry{},
-		graves:  map[string]entry{},
+func New(config Config) *Gossiper {
+	return &Gossiper{
+		config:     config,
+		self:       config.Self,
+		rng:        rand.New(rand.NewPCG(config.Seed, 1)),
+		entries:    map[string]entry{},
+		tombstones: map[string]entry{},
 	}
 }
 
 // Wakeup is when the next exchange is due.
-func (m *Member) Wakeup() time.Duration { return m.next }
+func (g *Gossiper) NextTimer() time.Duration { return g.nextShuffle }
 
 // Nodes gives this node and all it knows of, by identity.
-func (m *Member) Nodes() []wire.Node {
-	out := []wire.Node{m.self}
-	for _, e := range m.entries {
+func (g *Gossiper) Nodes() []wire.Node {
+	out := []wire.Node{g.self}
+	for _, e := range g.entries {
 		out = append(out, e.node)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
 
-func (m *Member) keepers() (count int) {
-	for _, e := range m.entries {
+func (g *Gossiper) replicaCount() (count int) {
+	for _, e := range g.entries {
 		if e.node.Role == "keeper" {
 			count++
 		}
@@ -85,71 +85,71 @@
 }
 
 // Step takes what another member sent, and begins an exchange when one is due.
-func (m *Member) Step(now time.Duration, in machine.Input) machine.Output {
+func (g *Gossiper) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	switch in.Line.Kind {
-	case wire.Shuffle, wire.ShuffleBack:
+	switch in.Message.Kind {
+	case wire.KindShuffle, wire.KindShuffleReply:
 		var b wire.Gossip
-		if err := machine.Unmarshal(in.Line.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Line.Kind, "from", in.Line.From, "why", err.Error())
+		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
+			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
 			return out
 		}
-		if in.Line.Kind == wire.Shuffle {
-			out.Send(in.Line.From, wire.ShuffleBack, wire.Gossip{Nodes: m.sample()})
+		if in.Message.Kind == wire.KindShuffle {
+			out.Send(in.Message.From, wire.KindShuffleReply, wire.Gossip{Nodes: g.sample()})
 		}
 		for i, n := range b.Nodes {
-			m.hear(now, n, i == 0 && n.Address == in.Line.From)
+			g.merge(now, n, i == 0 && n.Address == in.Message.From)
 		}
-		if m.lost && m.keepers() > 0 {
-			m.lost = false
-			out.Send("", wire.Nodes, wire.Gossip{Nodes: m.Nodes()})
+		if g.withoutReplica && g.replicaCount() > 0 {
+			g.withoutReplica = false
+			out.Send("", wire.KindNodeList, wire.Gossip{Nodes: g.Nodes()})
 		}
 	}
-	if now >= m.next {
-		m.next = now + shuffleEach
-		m.shuffle(now, &out)
+	if now >= g.nextShuffle {
+		g.nextShuffle = now + shuffleInterval
+		g.shuffle(now, &out)
 	}
 	return out
 }
 
-func (m *Member) shuffle(now time.Duration, out *machine.Output) {
-	m.self.Sequence++
+func (g *Gossiper) shuffle(now time.Duration, out *machine.Output) {
+	g.self.Version++
 	var addresses []string
-	for id, e := range m.entries {
-		if now-e.seen > forgetAfter {
-			m.bury(now, id)
+	for id, e := range g.entries {
+		if now-e.updatedAt > entryTTL {
+			g.remove(now, id)
 			out.Log("node_forgotten", "node", id, "address", e.node.Address)
 			continue
 		}
 		addresses = append(addresses, e.node.Address)
 	}
-	for id, e := range m.graves {
-		if now-e.seen > graveFor {
-			delete(m.graves, id)
+	for id, e := range g.tombstones {
+		if now-e.updatedAt > tombstoneTTL {
+			delete(g.tombstones, id)
 		}
 	}
 	sort.Strings(addresses)
-	m.lost = m.keepers() == 0
-	if seed := m.env.Seeds; len(seed) > 0 && m.lost {
+	g.withoutReplica = g.replicaCount() == 0
+	if seeds := g.config.Seeds; len(seeds) > 0 && g.withoutReplica {
 		// Without a keeper nothing can be followed: each seed is asked in turn.
-		if to := seed[m.self.Sequence%uint64(len(seed))]; to != m.self.Address {
-			out.Send(to, wire.Shuffle, wire.Gossip{Nodes: m.sample()})
+		if to := seeds[g.self.Version%uint64(len(seeds))]; to != g.self.Address {
+			out.Send(to, wire.KindShuffle, wire.Gossip{Nodes: g.sample()})
 		}
-	} else if len(seed) > 0 && (len(addresses) < 2 || m.self.Sequence%10 == 0) {
-		addresses = append(addresses, seed[m.chance.IntN(len(seed))])
+	} else if len(seeds) > 0 && (len(addresses) < 2 || g.self.Version%10 == 0) {
+		addresses = append(addresses, seeds[g.rng.IntN(len(seeds))])
 	}
 	if len(addresses) > 0 {
-		if to := addresses[m.chance.IntN(len(addresses))]; to != m.self.Address {
-			out.Send(to, wire.Shuffle, wire.Gossip{Nodes: m.sample()})
+		if to := addresses[g.rng.IntN(len(addresses))]; to != g.self.Address {
+			out.Send(to, wire.KindShuffle, wire.Gossip{Nodes: g.sample()})
 		}
 	}
-	out.Send("", wire.Nodes, wire.Gossip{Nodes: m.Nodes()})
+	out.Send("", wire.KindNodeList, wire.Gossip{Nodes: g.Nodes()})
 }
 
-func (m *Member) sample() []wire.Node {
-	all := m.Nodes()
-	all = slices.DeleteFunc(all, func(n wire.Node) bool { return n.ID == m.self.ID })
-	m.chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+func (g *Gossiper) sample() []wire.Node {
+	all := g.Nodes()
+	all = slices.DeleteFunc(all, func(n wire.Node) bool { return n.ID == g.self.ID })
+	g.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	// A newcomer is of no use until it knows a keeper: two go first.
 	for i, found := 0, 0; i < len(all) && found < 2; i++ {
 		if all[i].Role == "keeper" {
@@ -157,62 +157,62 @@
 			found++
 		}
 	}
-	return append([]wire.Node{m.self}, all[:min(len(all), sampleSize)]...)
+	return append([]wire.Node{g.self}, all[:min(len(all), shuffleSize)]...)
 }
 
 func newer(a, b wire.Node) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
 	}
-	return a.Sequence > b.Sequence
+	return a.Version > b.Version
 }
 
-func (m *Member) bury(now time.Duration, id string) {
-	m.graves[id] = entry{m.entries[id].node, now}
-	delete(m.entries, id)
+func (g *Gossiper) remove(now time.Duration, id string) {
+	g.tombstones[id] = entry{g.entries[id].node, now}
+	delete(g.entries, id)
 }
 
 // hear takes one entry. A node that speaks for itself is believed about its
 // address, whatever its clock made of its incarnation; of two others at one
 // address the newer stays.
-func (m *Member) hear(now time.Duration, n wire.Node, itself bool) {
-	if n.ID == m.self.ID {
-		if n.Address != m.self.Address || n.Incarnation > m.self.Incarnation {
-			m.self.Incarnation = max(m.self.Incarnation, n.Incarnation) + 1
+func (g *Gossiper) merge(now time.Duration, node wire.Node, firstHand bool) {
+	if node.ID == g.self.ID {
+		if node.Address != g.self.Address || node.Incarnation > g.self.Incarnation {
+			g.self.Incarnation = max(g.self.Incarnation, node.Incarnation) + 1
 		}
 		return
 	}
-	if n.ID == "" || n.Address == "" || n.Address == m.self.Address {
+	if node.ID == "" || node.Address == "" || node.Address == g.self.Address {
 		return
 	}
-	if dead, ok := m.graves[n.ID]; ok && !itself && !newer(n, dead.node) {
+	if tombstone, ok := g.tombstones[node.ID]; ok && !firstHand && !newer(node, tombstone.node) {
 		return
 	}
-	delete(m.graves, n.ID)
-	if old, ok := m.entries[n.ID]; ok {
-		if newer(n, old.node) || itself && n.Incarnation < old.node.Incarnation {
-			m.entries[n.ID] = entry{n, now}
+	delete(g.tombstones, node.ID)
+	if old, ok := g.entries[node.ID]; ok {
+		if newer(node, old.node) || firstHand && node.Incarnation < old.node.Incarnation {
+			g.entries[node.ID] = entry{node, now}
 		}
 		return
 	}
 	count, oldest := 0, ""
-	for id, e := range m.entries {
-		if e.node.Address == n.Address {
-			if !itself && !newer(n, e.node) {
+	for id, e := range g.entries {
+		if e.node.Address == node.Address {
+			if !firstHand && !newer(node, e.node) {
 				return
 			}
-			m.bury(now, id)
+			g.remove(now, id)
 			continue
 		}
-		if e.node.Role == n.Role && e.node.Site == n.Site {
+		if e.node.Role == node.Role && e.node.Zone == node.Zone {
 			count++
-			if oldest == "" || e.seen < m.entries[oldest].seen || e.seen == m.entries[oldest].seen && id < oldest {
+			if oldest == "" || e.updatedAt < g.entries[oldest].updatedAt || e.updatedAt == g.entries[oldest].updatedAt && id < oldest {
 				oldest = id
 			}
 		}
 	}
-	if count >= perRoleSite {
-		delete(m.entries, oldest)
+	if count >= maxPerRoleAndZone {
+		delete(g.entries, oldest)
 	}
-	m.entries[n.ID] = entry{n, now}
+	g.entries[node.ID] = entry{node, now}
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -11,43 +11,43 @@
 )
 
 // town is a set of members whose lines arrive at once; addresses name them.
-type town struct {
+type network struct {
 	now     time.Duration
-	members map[string]*Member
+	members map[string]*Gossiper
 	order   []string
 }
 
-func (c *town) add(id, address string, incarnation int64, seeds ...string) {
+func (c *network) start(id, address string, incarnation int64, seeds ...string) {
 	if _, ok := c.members[address]; !ok {
 		c.order = append(c.order, address)
 	}
-	self := wire.Node{ID: id, Role: "keeper", Site: "a", Address: address, Incarnation: incarnation}
-	c.members[address] = New(Env{Self: self, Seeds: seeds, Seed: uint64(len(c.order))})
+	self := wire.Node{ID: id, Role: "keeper", Zone: "a", Address: address, Incarnation: incarnation}
+	c.members[address] = New(Config{Self: self, Seeds: seeds, Seed: uint64(len(c.order))})
 }
 
-func (c *town) send(from string, out machine.Output) {
-	for _, s := range out.Sends {
+func (c *network) send(from string, out machine.Output) {
+	for _, s := range out.Messages {
 		if to := c.members[s.To]; to != nil {
-			line := machine.Line{Wire: 1, Kind: s.Kind, From: from, Body: machine.MustMarshal(s.Body)}
-			c.send(s.To, to.Step(c.now, machine.Input{Line: line}))
+			line := machine.Message{Version: 1, Kind: s.Kind, From: from, Body: machine.MustMarshal(s.Body)}
+			c.send(s.To, to.Step(c.now, machine.Input{Message: line}))
 		}
 	}
 }
 
-func (c *town) pass(d time.Duration) {
+func (c *network) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; c.now += 100 * time.Millisecond {
 		for _, address := range c.order {
-			if m := c.members[address]; m != nil {
-				c.send(address, m.Step(c.now, machine.Input{}))
+			if g := c.members[address]; g != nil {
+				c.send(address, g.Step(c.now, machine.Input{}))
 			}
 		}
 	}
 }
 
 // known says who is known at each living address, other than itself.
-func (c *town) known(id string) (count int) {
-	for _, m := range c.members {
-		for _, n := range m.Nodes() {
+func (c *network) knownBy(id string) (count int) {
+	for _, g := range c.members {
+		for _, n := range g.Nodes() {
 			if n.ID == id {
 				count++
 			}
@@ -56,14 +56,14 @@
 	return count
 }
 
-func TestMembersJoinMoveAndAgeOut(t *testing.T) {
-	c := &town{now: time.Second, members: map[string]*Member{}}
-	c.add("n0", "a0", 100)
+func TestMembersJoinMoveAndExpire(t *testing.T) {
+	c := &network{now: time.Second, members: map[string]*Gossiper{}}
+	c.start("n0", "a0", 100)
 	for i := 1; i < 7; i++ {
-		c.add(fmt.Sprintf("n%d", i), fmt.Sprintf("a%d", i), 100, "dead", "a0")
+		c.start(fmt.Sprintf("n%d", i), fmt.Sprintf("a%d", i), 100, "dead", "a0")
 	}
-	c.pass(10 * time.Second)
-	if n := c.known("n6"); n != 7 {
+	c.advance(10 * time.Second)
+	if n := c.knownBy("n6"); n != 7 {
 		t.Fatalf("joined through one living seed: known to %d of 7", n)
 	}
 	steps := []struct {
@@ -73,23 +73,23 @@
 		living    int
 	}{
 		{"a dead one ages out and does not come back by hearsay", func() { delete(c.members, "a1") }, "n1", "n2", 6},
-		{"back at a new address", func() { delete(c.members, "a2"); c.add("n2", "b2", 101, "a0") }, "", "n2", 6},
+		{"back at a new address", func() { delete(c.members, "a2"); c.start("n2", "b2", 101, "a0") }, "", "n2", 6},
 		{"another identity at a known address, though its clock went back",
-			func() { c.add("fresh", "a3", 5, "a0") }, "n3", "fresh", 6},
-		{"the same identity, though its clock went back", func() { c.add("n4", "a4", 7, "a0") }, "", "n4", 6},
+			func() { c.start("fresh", "a3", 5, "a0") }, "n3", "fresh", 6},
+		{"the same identity, though its clock went back", func() { c.start("n4", "a4", 7, "a0") }, "", "n4", 6},
 	}
 	for _, step := range steps {
 		step.do()
-		c.pass(20 * time.Second)
-		if n := c.known(step.gone); step.gone != "" && n > 0 {
+		c.advance(20 * time.Second)
+		if n := c.knownBy(step.gone); step.gone != "" && n > 0 {
 			t.Errorf("%s: %s is still known to %d", step.name, step.gone, n)
 		}
-		if n := c.known(step.new); n != step.living {
+		if n := c.knownBy(step.new); n != step.living {
 			t.Errorf("%s: %s is known to %d of %d", step.name, step.new, n, step.living)
 		}
 	}
-	for _, m := range c.members {
-		for _, n := range m.Nodes() {
+	for _, g := range c.members {
+		for _, n := range g.Nodes() {
 			if n.ID == "n2" && n.Address != "b2" {
 				t.Errorf("n2 is still thought to be at %s", n.Address)
 			}
@@ -100,36 +100,36 @@
 // TestANewcomerHearsOfAKeeperAtOnce has a newcomer ask one member that knows many
 // daemons and one keeper: the first reply names the keeper, and the newcomer
 // tells its own daemon in that moment.
-func TestANewcomerHearsOfAKeeperAtOnce(t *testing.T) {
+func TestNewMemberLearnsOfReplicaFromFirstReply(t *testing.T) {
 	for seed := range uint64(30) {
-		asked := New(Env{Self: wire.Node{ID: "f0", Role: "front", Site: "a", Address: "f0"}, Seed: seed})
-		hear := []wire.Node{{ID: "k", Role: "keeper", Site: "a", Address: "k"}}
+		asked := New(Config{Self: wire.Node{ID: "f0", Role: "front", Zone: "a", Address: "f0"}, Seed: seed})
+		known := []wire.Node{{ID: "k", Role: "keeper", Zone: "a", Address: "k"}}
 		for i := range 24 {
 			site := string(rune('a' + i/8))
 			name := fmt.Sprintf("s%d", i)
-			hear = append(hear, wire.Node{ID: name, Role: "scheduler", Site: site, Address: name})
+			known = append(known, wire.Node{ID: name, Role: "scheduler", Zone: site, Address: name})
 		}
-		line := func(kind, from string, body any) machine.Input {
-			return machine.Input{Line: machine.Line{Wire: 1, Kind: kind, From: from, Body: machine.MustMarshal(body)}}
+		input := func(kind, from string, body any) machine.Input {
+			return machine.Input{Message: machine.Message{Version: 1, Kind: kind, From: from, Body: machine.MustMarshal(body)}}
 		}
-		asked.Step(time.Second, line(wire.ShuffleBack, "x", wire.Gossip{Nodes: hear}))
-		self := wire.Node{ID: "new", Role: "keeper", Site: "a", Address: "new"}
-		fresh := New(Env{Self: self, Seeds: []string{"f0"}, Seed: seed})
-		told := false
-		for _, s := range fresh.Step(time.Second, machine.Input{}).Sends {
+		asked.Step(time.Second, input(wire.KindShuffleReply, "x", wire.Gossip{Nodes: known}))
+		self := wire.Node{ID: "new", Role: "keeper", Zone: "a", Address: "new"}
+		newcomer := New(Config{Self: self, Seeds: []string{"f0"}, Seed: seed})
+		notified := false
+		for _, s := range newcomer.Step(time.Second, machine.Input{}).Messages {
 			if s.To != "f0" {
 				continue
 			}
-			for _, back := range asked.Step(time.Second, line(s.Kind, "new", s.Body)).Sends {
-				for _, out := range fresh.Step(time.Second, line(back.Kind, "f0", back.Body)).Sends {
+			for _, reply := range asked.Step(time.Second, input(s.Kind, "new", s.Body)).Messages {
+				for _, out := range newcomer.Step(time.Second, input(reply.Kind, "f0", reply.Body)).Messages {
 					b, ok := out.Body.(wire.Gossip)
-					told = told || ok && out.To == "" && slices.ContainsFunc(b.Nodes, func(n wire.Node) bool {
+					notified = notified || ok && out.To == "" && slices.ContainsFunc(b.Nodes, func(n wire.Node) bool {
 						return n.Role == "keeper" && n.ID == "k"
 					})
 				}
 			}
 		}
-		if !told {
+		if !notified {
 			t.Fatalf("seed %d: the newcomer does not know the keeper after the first reply", seed)
 		}
 	}
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -25,13 +25,13 @@
 )
 
 // Span is a duration that reads and writes as "1.5s".
-type Span struct{ time.Duration }
+type Duration struct{ time.Duration }
 
 // MarshalText writes the duration as Go does.
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // UnmarshalText reads a duration that is not negative.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err == nil && d < 0 {
 		err = fmt.Errorf("negative duration %q", text)
@@ -42,23 +42,23 @@
 
 // Class is a kind of work of one service, with its part of the workers.
 type Class struct {
-	Priority int    `json:"priority"`
-	Share    int    `json:"share"`
-	Quick    bool   `json:"quick,omitempty"`
-	InboxMax int    `json:"inboxMax,omitempty"`
-	RunLimit Span   `json:"runLimit,omitzero"`
-	Silence  string `json:"silence,omitempty"`
+	Priority         int      `json:"priority"`
+	Share            int      `json:"share"`
+	Quick            bool     `json:"quick,omitempty"`
+	QueueLimit       int      `json:"inboxMax,omitempty"`
+	RunLimit         Duration `json:"runLimit,omitzero"`
+	LostWorkerPolicy string   `json:"silence,omitempty"`
 	// AllowedDefects is what a task gets that names none; 0 stands for 3.
-	AllowedDefects int `json:"allowedDefects,omitempty"`
+	MaxFailures int `json:"allowedDefects,omitempty"`
 	// Aim and Stretch say by when a job ought to be over: Stretch times its
 	// longest chain of guessed run times, and Aim on top. They order, and bound nothing.
-	Aim     Span    `json:"aim,omitzero"`
-	Stretch float64 `json:"stretch,omitempty"`
+	LatencyTarget      Duration `json:"aim,omitzero"`
+	CriticalPathFactor float64  `json:"stretch,omitempty"`
 }
 
 // Entry sends what callers ask for by host and path to a class: the longest
 // prefix of those for the host counts.
-type Entry struct {
+type Route struct {
 	Name    string `json:"name"`
 	Host    string `json:"host"`
 	Prefix  string `json:"prefix"`
@@ -69,8 +69,8 @@
 // What a worker's silence means for a task that it may have ended well: start
 // it again once the attempt must have ended, or hold it for a word.
 const (
-	Restart = "restart"
-	Hold    = "hold"
+	RestartOnLostWorker = "restart"
+	HoldOnLostWorker    = "hold"
 )
 
 // Service is a set of workers of one kind and the classes of work for them.
@@ -79,15 +79,15 @@
 	Labels  []string         `json:"labels,omitempty"`
 	// Largest is the largest worker that the service may have; without it every
 	// need is taken, and waits for a worker that can meet it.
-	Largest Room `json:"largestWorker,omitzero"`
+	LargestWorker Resources `json:"largestWorker,omitzero"`
 	// AnyLabel: tasks may ask for any label, since their workers name their own.
-	AnyLabel bool `json:"anyLabel,omitempty"`
+	AllowAnyLabel bool `json:"anyLabel,omitempty"`
 }
 
 // Room is what a task needs and what a worker has. Shares are parts of the
 // slots; what a slot stands for, a place or a thousandth of a core, is the
 // operator's choice.
-type Room struct {
+type Resources struct {
 	Slots        int `json:"slots"`
 	Cores        int `json:"cores,omitempty"`
 	MemoryMB     int `json:"memoryMB,omitempty"`
@@ -95,23 +95,23 @@
 }
 
 // Add sums each resource.
-func (r Room) Add(o Room) Room {
-	return Room{r.Slots + o.Slots, r.Cores + o.Cores, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.Slots + o.Slots, r.Cores + o.Cores, r.MemoryMB + o.MemoryMB, r.Accelerators + o.Accelerators}
 }
 
 // Less takes the other from each resource; the result may be negative.
-func (r Room) Less(o Room) Room {
-	return Room{r.Slots - o.Slots, r.Cores - o.Cores, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.Slots - o.Slots, r.Cores - o.Cores, r.MemoryMB - o.MemoryMB, r.Accelerators - o.Accelerators}
 }
 
 // Holds says whether the other fits, by each resource.
-func (r Room) Holds(o Room) bool {
+func (r Resources) Covers(o Resources) bool {
 	return r.Slots >= o.Slots && r.Cores >= o.Cores && r.MemoryMB >= o.MemoryMB && r.Accelerators >= o.Accelerators
 }
 
 // Least takes the smaller of each.
-func (r Room) Least(o Room) Room {
-	return Room{
+func (r Resources) Min(o Resources) Resources {
+	return Resources{
 		Slots:        min(r.Slots, o.Slots),
 		Cores:        min(r.Cores, o.Cores),
 		MemoryMB:     min(r.MemoryMB, o.MemoryMB),
@@ -120,8 +120,8 @@
 }
 
 // Most takes the larger of each.
-func (r Room) Most(o Room) Room {
-	return Room{
+func (r Resources) Max(o Resources) Resources {
+	return Resources{
 		Slots:        max(r.Slots, o.Slots),
 		Cores:        max(r.Cores, o.Cores),
 		MemoryMB:     max(r.MemoryMB, o.MemoryMB),
@@ -138,112 +138,112 @@
 
 // Limits are the times and counts that hold for all services.
 type Limits struct {
-	Lease       Span `json:"lease"`
-	Margin      Span `json:"margin"`
-	StartBy     Span `json:"startBy"`
-	Silent      Span `json:"silent"`
-	Keep        Span `json:"keep"`
-	Remember    Span `json:"remember"`
-	RememberMax int  `json:"rememberMax"`
-	MaxLosses   int  `json:"maxLosses"`
-	RunLimit    Span `json:"runLimit"`
-	MaxTasks    int  `json:"maxTasks"`
+	LeaseDuration     Duration `json:"lease"`
+	ExpiryMargin      Duration `json:"margin"`
+	StartTimeout      Duration `json:"startBy"`
+	HeartbeatTimeout  Duration `json:"silent"`
+	FinishedRetention Duration `json:"keep"`
+	PastJobRetention  Duration `json:"remember"`
+	PastJobsMax       int      `json:"rememberMax"`
+	MaxLostAttempts   int      `json:"maxLosses"`
+	RunLimit          Duration `json:"runLimit"`
+	MaxTasks          int      `json:"maxTasks"`
 	// EndsAtCutoff says that whatever stands over the workers ends their attempts
 	// when the lease is over, so that no run limit need be waited for.
-	EndsAtCutoff bool `json:"endsAtCutoff,omitempty"`
+	KilledAtLeaseExpiry bool `json:"endsAtCutoff,omitempty"`
 }
 
 // Plan is the operator's plan. Document is what an outside system's translator
 // keeps with it, handed back as it was.
-type Plan struct {
-	Sequence uint64             `json:"sequence"`
-	Services map[string]Service `json:"services"`
-	Entries  []Entry            `json:"entries,omitempty"`
-	Sites    []string           `json:"sites,omitempty"`
-	Policies Policies           `json:"policies"`
-	Limits   Limits             `json:"limits"`
-	Document json.RawMessage    `json:"document,omitempty"`
+type Config struct {
+	Version        uint64             `json:"sequence"`
+	Services       map[string]Service `json:"services"`
+	Routes         []Route            `json:"entries,omitempty"`
+	Zones          []string           `json:"sites,omitempty"`
+	Policies       Policies           `json:"policies"`
+	Limits         Limits             `json:"limits"`
+	SourceDocument json.RawMessage    `json:"document,omitempty"`
 }
 
 // Find gives the entry for a host and path: the longest prefix counts. Hosts are
 // compared without regard to case.
-func (p Plan) Find(host, path string) (Entry, bool) {
-	var best Entry
+func (p Config) FindRoute(host, path string) (Route, bool) {
+	var best Route
 	found := false
-	for _, e := range p.Entries {
-		matches := strings.EqualFold(e.Host, host) && strings.HasPrefix(path, e.Prefix)
-		if matches && (!found || len(e.Prefix) > len(best.Prefix)) {
-			best, found = e, true
+	for _, route := range p.Routes {
+		matches := strings.EqualFold(route.Host, host) && strings.HasPrefix(path, route.Prefix)
+		if matches && (!found || len(route.Prefix) > len(best.Prefix)) {
+			best, found = route, true
 		}
 	}
 	return best, found
 }
 
-func span(d time.Duration) Span { return Span{d} }
+func duration(d time.Duration) Duration { return Duration{d} }
 
 // Default is what an empty field of an operator's plan means.
-func Default() Plan {
-	return Plan{
+func Default() Config {
+	return Config{
 		Services: map[string]Service{},
 		Policies: Policies{Order: "priority", Borrow: "waiting == 0 && idle - asked >= total / 8"},
 		Limits: Limits{
-			Lease:       span(6 * time.Second),
-			Margin:      span(time.Second),
-			StartBy:     span(4 * time.Second),
-			Silent:      span(3 * time.Second),
-			Keep:        span(10 * time.Minute),
-			Remember:    span(6 * time.Hour),
-			RememberMax: 50000,
-			MaxLosses:   20,
-			RunLimit:    span(10 * time.Minute),
-			MaxTasks:    1000,
+			LeaseDuration:     duration(6 * time.Second),
+			ExpiryMargin:      duration(time.Second),
+			StartTimeout:      duration(4 * time.Second),
+			HeartbeatTimeout:  duration(3 * time.Second),
+			FinishedRetention: duration(10 * time.Minute),
+			PastJobRetention:  duration(6 * time.Hour),
+			PastJobsMax:       50000,
+			MaxLostAttempts:   20,
+			RunLimit:          duration(10 * time.Minute),
+			MaxTasks:          1000,
 		},
 	}
 }
 
 // OrderNames are the names an order policy may use; the larger result goes
 // first. Quick classes stand before all others whatever it says.
-type OrderNames struct {
-	Priority int     `expr:"priority"`
-	Level    int     `expr:"level"`
-	Waited   float64 `expr:"waited"`
-	Share    int     `expr:"share"`
-	Used     int     `expr:"used"`
-	Class    string  `expr:"class"`
-	Service  string  `expr:"service"`
-	Slots    int     `expr:"slots"`
+type OrderInput struct {
+	Priority      int     `expr:"priority"`
+	Level         int     `expr:"level"`
+	WaitedSeconds float64 `expr:"waited"`
+	Share         int     `expr:"share"`
+	Used          int     `expr:"used"`
+	Class         string  `expr:"class"`
+	Service       string  `expr:"service"`
+	Slots         int     `expr:"slots"`
 }
 
 // BorrowNames are the names a borrowing policy may use; it is asked only for a
 // class that would go over its share.
-type BorrowNames struct {
-	Total   int    `expr:"total"`
-	Idle    int    `expr:"idle"`
-	Asked   int    `expr:"asked"`
-	Used    int    `expr:"used"`
-	Share   int    `expr:"share"`
-	Waiting int    `expr:"waiting"`
-	Class   string `expr:"class"`
-	Service string `expr:"service"`
+type BorrowInput struct {
+	Total     int    `expr:"total"`
+	Idle      int    `expr:"idle"`
+	Requested int    `expr:"asked"`
+	Used      int    `expr:"used"`
+	Share     int    `expr:"share"`
+	Waiting   int    `expr:"waiting"`
+	Class     string `expr:"class"`
+	Service   string `expr:"service"`
 }
 
 // Fault is one thing wrong with a plan, and where.
-type Fault struct {
-	Code  code.Code `json:"code"`
-	Place string    `json:"place"`
-	Why   string    `json:"why"`
+type Violation struct {
+	Code   code.Code `json:"code"`
+	Path   string    `json:"place"`
+	Reason string    `json:"why"`
 }
 
 //go:embed schema.json
-var schemaText []byte
+var schemaJSON []byte
 
 // Schema is the published JSON schema of a plan.
-func Schema() []byte { return bytes.Clone(schemaText) }
+func Schema() []byte { return bytes.Clone(schemaJSON) }
 
 var schema = mustSchema()
 
 func mustSchema() *jsonschema.Schema {
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
 		panic(err)
 	}
@@ -255,77 +255,77 @@
 }
 
 // Parse checks a whole plan and fills what it leaves out.
-func Parse(data []byte) (Plan, []Fault) {
+func Parse(data []byte) (Config, []Violation) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
-		return Plan{}, []Fault{{code.Malformed, "/", err.Error()}}
+		return Config{}, []Violation{{code.Malformed, "/", err.Error()}}
 	}
 	if err := schema.Validate(doc); err != nil {
-		var faults []Fault
+		var violations []Violation
 		if invalid, ok := err.(*jsonschema.ValidationError); ok {
-			leaves(invalid, &faults)
+			appendViolations(invalid, &violations)
 		} else {
-			faults = []Fault{{code.BadPlan, "/", err.Error()}}
+			violations = []Violation{{code.InvalidConfig, "/", err.Error()}}
 		}
-		return Plan{}, faults
+		return Config{}, violations
 	}
-	p := Default()
+	config := Default()
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&p); err != nil {
-		return Plan{}, []Fault{{code.BadPlan, "/", err.Error()}}
+	if err := decoder.Decode(&config); err != nil {
+		return Config{}, []Violation{{code.InvalidConfig, "/", err.Error()}}
 	}
-	return p, p.faults()
+	return config, config.violations()
 }
 
-func leaves(e *jsonschema.ValidationError, faults *[]Fault) {
-	if len(e.Causes) == 0 {
-		why := e.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		*faults = append(*faults, Fault{code.BadPlan, "/" + strings.Join(e.InstanceLocation, "/"), why})
+func appendViolations(route *jsonschema.ValidationError, faults *[]Violation) {
+	if len(route.Causes) == 0 {
+		reason := route.ErrorKind.LocalizedString(message.NewPrinter(language.English))
+		*faults = append(*faults, Violation{code.InvalidConfig, "/" + strings.Join(route.InstanceLocation, "/"), reason})
 	}
-	for _, cause := range e.Causes {
-		leaves(cause, faults)
+	for _, cause := range route.Causes {
+		appendViolations(cause, faults)
 	}
 }
 
-func (p Plan) faults() []Fault {
-	var faults []Fault
+func (p Config) violations() []Violation {
+	var violations []Violation
 	for _, name := range slices.Sorted(maps.Keys(p.Services)) {
 		sum := 0
 		for _, class := range p.Services[name].Classes {
 			sum += class.Share
 		}
 		if sum > 100 {
-			why := fmt.Sprintf("the shares add up to %d, over 100", sum)
-			faults = append(faults, Fault{code.BadPlan, "/services/" + name, why})
+			reason := fmt.Sprintf("the shares add up to %d, over 100", sum)
+			violations = append(violations, Violation{code.InvalidConfig, "/services/" + name, reason})
 		}
 	}
-	places := map[[2]string]bool{}
-	for i, e := range p.Entries {
+	seen := map[[2]string]bool{}
+	for i, route := range p.Routes {
 		at := fmt.Sprintf("/entries/%d", i)
-		place := [2]string{strings.ToLower(e.Host), e.Prefix}
-		if places[place] {
-			faults = append(faults, Fault{code.BadPlan, at, "another entry has this host and prefix"})
+		place := [2]string{strings.ToLower(route.Host), route.Prefix}
+		if seen[place] {
+			violations = append(violations, Violation{code.InvalidConfig, at, "another entry has this host and prefix"})
 		}
-		places[place] = true
-		if _, ok := p.Services[e.Service].Classes[e.Class]; !ok {
-			why := fmt.Sprintf("no class %q of a service %q", e.Class, e.Service)
-			faults = append(faults, Fault{code.BadPlan, at, why})
+		seen[place] = true
+		if _, ok := p.Services[route.Service].Classes[route.Class]; !ok {
+			reason := fmt.Sprintf("no class %q of a service %q", route.Class, route.Service)
+			violations = append(violations, Violation{code.InvalidConfig, at, reason})
 		}
 	}
-	if p.Limits.StartBy.Duration >= p.Limits.Lease.Duration {
-		faults = append(faults, Fault{code.BadPlan, "/limits/startBy", "must be shorter than the lease"})
+	if p.Limits.StartTimeout.Duration >= p.Limits.LeaseDuration.Duration {
+		violations = append(violations, Violation{code.InvalidConfig, "/limits/startBy", "must be shorter than the lease"})
 	}
 	if _, err := compileOrder(p.Policies.Order); err != nil {
-		faults = append(faults, Fault{code.BadPolicy, "/policies/order", where(err)})
+		violations = append(violations, Violation{code.InvalidPolicy, "/policies/order", describeCompileError(err)})
 	}
 	if _, err := compileBorrow(p.Policies.Borrow); err != nil {
-		faults = append(faults, Fault{code.BadPolicy, "/policies/borrow", where(err)})
+		violations = append(violations, Violation{code.InvalidPolicy, "/policies/borrow", describeCompileError(err)})
 	}
-	return faults
+	return violations
 }
 
-func where(err error) string {
+func describeCompileError(err error) string {
 	if at, ok := err.(*file.Error); ok {
 		return fmt.Sprintf("line %d column %d: %s", at.Line, at.Column+1, at.Message)
 	}
@@ -334,30 +334,30 @@
 
 // Now and its kin are switched off: a policy sees only the names it is given,
 // so that every copy of the ledger reaches the same result.
-var pure = []expr.Option{expr.DisableBuiltin("now"), expr.MaxNodes(200)}
+var policyOptions = []expr.Option{expr.DisableBuiltin("now"), expr.MaxNodes(200)}
 
 func compileOrder(text string) (*vm.Program, error) {
-	return expr.Compile(text, append([]expr.Option{expr.Env(OrderNames{}), expr.AsFloat64()}, pure...)...)
+	return expr.Compile(text, append([]expr.Option{expr.Env(OrderInput{}), expr.AsFloat64()}, policyOptions...)...)
 }
 
 func compileBorrow(text string) (*vm.Program, error) {
-	return expr.Compile(text, append([]expr.Option{expr.Env(BorrowNames{}), expr.AsBool()}, pure...)...)
+	return expr.Compile(text, append([]expr.Option{expr.Env(BorrowInput{}), expr.AsBool()}, policyOptions...)...)
 }
 
 // Rules are the compiled policies of a plan. The two shortest are known by sight.
-type Rules struct {
-	order, borrow      *vm.Program
-	byPriority, always bool
+type CompiledPolicies struct {
+	orderProgram, borrowProgram   *vm.Program
+	orderIsPriority, alwaysBorrow bool
 }
 
 // ByPriority says that the order policy is just "priority".
-func (r Rules) ByPriority() bool { return r.byPriority }
+func (r CompiledPolicies) OrdersByPriority() bool { return r.orderIsPriority }
 
 // AlwaysLends says that the borrowing policy is just "true".
-func (r Rules) AlwaysLends() bool { return r.always }
+func (r CompiledPolicies) AlwaysAllowsBorrowing() bool { return r.alwaysBorrow }
 
 // RunLimit is how long an attempt of a class may run unless its task says so.
-func (p Plan) RunLimit(service, class string) time.Duration {
+func (p Config) RunLimit(service, class string) time.Duration {
 	if limit := p.Services[service].Classes[class].RunLimit.Duration; limit > 0 {
 		return limit
 	}
@@ -366,21 +366,21 @@
 
 // Compile never fails on a plan that Parse passed; on a fault it falls back to
 // priority order and no borrowing, the careful side of both.
-func (p Plan) Compile() Rules {
+func (p Config) Compile() CompiledPolicies {
 	order, _ := compileOrder(p.Policies.Order)
 	borrow, _ := compileBorrow(p.Policies.Borrow)
-	return Rules{
-		order:      order,
-		borrow:     borrow,
-		byPriority: strings.TrimSpace(p.Policies.Order) == "priority",
-		always:     strings.TrimSpace(p.Policies.Borrow) == "true",
+	return CompiledPolicies{
+		orderProgram:    order,
+		borrowProgram:   borrow,
+		orderIsPriority: strings.TrimSpace(p.Policies.Order) == "priority",
+		alwaysBorrow:    strings.TrimSpace(p.Policies.Borrow) == "true",
 	}
 }
 
 // Order ranks a waiting task; the larger result goes first.
-func (r Rules) Order(names OrderNames) float64 {
-	if r.order != nil && !r.byPriority {
-		if out, err := expr.Run(r.order, names); err == nil {
+func (r CompiledPolicies) Order(names OrderInput) float64 {
+	if r.orderProgram != nil && !r.orderIsPriority {
+		if out, err := expr.Run(r.orderProgram, names); err == nil {
 			if v, ok := out.(float64); ok && v == v {
 				return v
 			}
@@ -390,40 +390,40 @@
 }
 
 // Borrow says whether a class may go over its share now.
-func (r Rules) Borrow(names BorrowNames) bool {
-	if r.borrow == nil {
+func (r CompiledPolicies) Borrow(names BorrowInput) bool {
+	if r.borrowProgram == nil {
 		return false
 	}
-	out, err := expr.Run(r.borrow, names)
+	out, err := expr.Run(r.borrowProgram, names)
 	allowed, ok := out.(bool)
 	return err == nil && ok && allowed
 }
 
 // Merge applies a JSON merge patch (RFC 7396) to a plan and checks the result.
-func Merge(base Plan, patch []byte) (Plan, []Fault) {
+func ApplyPatch(base Config, patch []byte) (Config, []Violation) {
 	var change any
 	if err := json.Unmarshal(patch, &change); err != nil {
-		return Plan{}, []Fault{{code.Malformed, "/", err.Error()}}
+		return Config{}, []Violation{{code.Malformed, "/", err.Error()}}
 	}
 	if _, ok := change.(map[string]any); !ok {
-		return Plan{}, []Fault{{code.Malformed, "/", "a patch is a JSON object"}}
+		return Config{}, []Violation{{code.Malformed, "/", "a patch is a JSON object"}}
 	}
 	data, err := json.Marshal(base)
 	if err != nil {
-		return Plan{}, []Fault{{code.Internal, "/", err.Error()}}
+		return Config{}, []Violation{{code.Internal, "/", err.Error()}}
 	}
 	var doc any
 	if err := json.Unmarshal(data, &doc); err != nil {
-		return Plan{}, []Fault{{code.Internal, "/", err.Error()}}
+		return Config{}, []Violation{{code.Internal, "/", err.Error()}}
 	}
-	merged, err := json.Marshal(merge(doc, change))
+	merged, err := json.Marshal(mergePatch(doc, change))
 	if err != nil {
-		return Plan{}, []Fault{{code.Internal, "/", err.Error()}}
+		return Config{}, []Violation{{code.Internal, "/", err.Error()}}
 	}
 	return Parse(merged)
 }
 
-func merge(doc, change any) any {
+func mergePatch(doc, change any) any {
 	fields, ok := change.(map[string]any)
 	if !ok {
 		return change
@@ -436,7 +436,7 @@
 		if value == nil {
 			delete(target, key)
 		} else {
-			target[key] = merge(target[key], value)
+			target[key] = mergePatch(target[key], value)
 		}
 	}
 	return target
--- a/core/register/recording_test.go
+++ b/core/register/recording_test.go
@@ -9,5 +9,5 @@
 // TestTheStateIsEncodedAsRecorded holds a witness's state to its encoding by commit
 // 40d3d2c, since it stands on the disks of keepers.
 func TestTheStateIsEncodedAsRecorded(t *testing.T) {
-	goldentest.JSON(t, "testdata/40d3d2c/state.json", State{})
+	goldentest.JSON(t, "testdata/40d3d2c/state.json", Acceptor{})
 }
--- a/core/register/register.go
+++ b/core/register/register.go
@@ -11,105 +11,105 @@
 )
 
 // State is what a witness keeps on its disk.
-type State struct {
-	Known    wire.View   `json:"known"`
-	Promised wire.Ballot `json:"promised"`
-	Accepted wire.Ballot `json:"accepted"`
-	Value    wire.View   `json:"value"`
+type Acceptor struct {
+	KnownView wire.View   `json:"known"`
+	Promised  wire.Ballot `json:"promised"`
+	Accepted  wire.Ballot `json:"accepted"`
+	Value     wire.View   `json:"value"`
 }
 
 // Learn takes a decided view; it reports whether it was news.
-func (s State) Learn(v wire.View) (State, bool) {
-	if v.Epoch <= s.Known.Epoch {
+func (s Acceptor) LearnView(view wire.View) (Acceptor, bool) {
+	if view.Epoch <= s.KnownView.Epoch {
 		return s, false
 	}
-	return State{Known: v}, true
+	return Acceptor{KnownView: view}, true
 }
 
 // Witness answers a prepare or an accept. An answer to one that was addressed
 // to another disk's identity is never given.
-func (s State) Witness(me wire.Seat, kind string, b wire.RegisterBody) (State, wire.RegisterBody, bool) {
-	if b.To != me.ID {
-		return s, wire.RegisterBody{}, false
+func (s Acceptor) HandleRequest(self wire.Member, kind string, request wire.PaxosMessage) (Acceptor, wire.PaxosMessage, bool) {
+	if request.To != self.ID {
+		return s, wire.PaxosMessage{}, false
 	}
-	s, _ = s.Learn(b.Known)
-	reply := wire.RegisterBody{Epoch: b.Epoch, From: me, To: b.From.ID, Ballot: b.Ballot}
-	if b.Epoch == s.Known.Epoch+1 && !b.Ballot.Less(s.Promised) {
-		s.Promised = b.Ballot
-		if kind == wire.Accept {
-			s.Accepted, s.Value = b.Ballot, b.Value
+	s, _ = s.LearnView(request.KnownView)
+	reply := wire.PaxosMessage{Epoch: request.Epoch, From: self, To: request.From.ID, Ballot: request.Ballot}
+	if request.Epoch == s.KnownView.Epoch+1 && !request.Ballot.Less(s.Promised) {
+		s.Promised = request.Ballot
+		if kind == wire.KindAccept {
+			s.Accepted, s.Value = request.Ballot, request.Value
 		}
-		reply.Good = true
+		reply.OK = true
 	}
-	reply.Promised, reply.Accepted, reply.Value, reply.Known = s.Promised, s.Accepted, s.Value, s.Known
+	reply.Promised, reply.Accepted, reply.Value, reply.KnownView = s.Promised, s.Accepted, s.Value, s.KnownView
 	return s, reply, true
 }
 
 // Proposal is one attempt by a member of the known view to decide the next.
 type Proposal struct {
-	Base      wire.View
-	Wanted    wire.View
-	Ballot    wire.Ballot
-	Value     wire.View
-	accepting bool
-	best      wire.Ballot
-	votes     map[string]bool
-	Highest   wire.Ballot
+	CurrentView     wire.View
+	ProposedView    wire.View
+	Ballot          wire.Ballot
+	Value           wire.View
+	accepting       bool
+	highestAccepted wire.Ballot
+	votes           map[string]bool
+	HighestPromised wire.Ballot
 }
 
 // Begin opens a proposal with a ballot above any seen. The run must differ
 // between two processes of one keeper, which may both want the same round.
-func Begin(base, wanted wire.View, me wire.Seat, run string, above wire.Ballot) (Proposal, []wire.RegisterBody) {
-	p := Proposal{Base: base, Wanted: wanted, Ballot: wire.Ballot{Round: above.Round + 1, ID: me.ID + "/" + run}, votes: map[string]bool{}}
-	return p, p.ask(me, base.Witnesses)
+func NewProposal(current, proposed wire.View, self wire.Member, incarnation string, highestSeen wire.Ballot) (Proposal, []wire.PaxosMessage) {
+	p := Proposal{CurrentView: current, ProposedView: proposed, Ballot: wire.Ballot{Round: highestSeen.Round + 1, ProposerID: self.ID + "/" + incarnation}, votes: map[string]bool{}}
+	return p, p.requests(self, current.Voters)
 }
 
-func (p Proposal) ask(me wire.Seat, to []wire.Seat) []wire.RegisterBody {
-	var out []wire.RegisterBody
-	for _, w := range to {
-		out = append(out, wire.RegisterBody{Epoch: p.Wanted.Epoch, From: me, To: w.ID, Ballot: p.Ballot, Value: p.Value, Known: p.Base})
+func (p Proposal) requests(self wire.Member, receivers []wire.Member) []wire.PaxosMessage {
+	var out []wire.PaxosMessage
+	for _, receiver := range receivers {
+		out = append(out, wire.PaxosMessage{Epoch: p.ProposedView.Epoch, From: self, To: receiver.ID, Ballot: p.Ballot, Value: p.Value, KnownView: p.CurrentView})
 	}
 	return out
 }
 
 // Active says whether an attempt is under way.
-func (p Proposal) Active() bool { return p.Wanted.Epoch > 0 }
+func (p Proposal) Active() bool { return p.ProposedView.Epoch > 0 }
 
 // Take counts one answer. It returns the accepts to send once a majority has
 // promised, and the decided view once enough have accepted.
-func (p Proposal) Take(me wire.Seat, kind string, b wire.RegisterBody) (Proposal, []wire.RegisterBody, wire.View) {
-	if p.Highest.Less(b.Promised) {
-		p.Highest = b.Promised
+func (p Proposal) HandleReply(self wire.Member, kind string, reply wire.PaxosMessage) (Proposal, []wire.PaxosMessage, wire.View) {
+	if p.HighestPromised.Less(reply.Promised) {
+		p.HighestPromised = reply.Promised
 	}
-	if !p.Active() || !b.Good || b.Epoch != p.Wanted.Epoch || b.Ballot != p.Ballot || p.accepting != (kind == wire.AcceptBack) {
+	if !p.Active() || !reply.OK || reply.Epoch != p.ProposedView.Epoch || reply.Ballot != p.Ballot || p.accepting != (kind == wire.KindAcceptReply) {
 		return p, nil, wire.View{}
 	}
-	votes := map[string]bool{b.From.ID: true}
+	votes := map[string]bool{reply.From.ID: true}
 	for id := range p.votes {
 		votes[id] = true
 	}
 	p.votes = votes
 	if !p.accepting {
-		if b.Value.Epoch > 0 && (p.Value.Epoch == 0 || p.best.Less(b.Accepted)) {
-			p.Value, p.best = b.Value, b.Accepted
+		if reply.Value.Epoch > 0 && (p.Value.Epoch == 0 || p.highestAccepted.Less(reply.Accepted)) {
+			p.Value, p.highestAccepted = reply.Value, reply.Accepted
 		}
-		if !Majority(p.Base.Witnesses, p.votes) {
+		if !HasMajority(p.CurrentView.Voters, p.votes) {
 			return p, nil, wire.View{}
 		}
 		if p.Value.Epoch == 0 {
-			p.Value = p.Wanted
+			p.Value = p.ProposedView
 		}
 		p.accepting, p.votes = true, map[string]bool{}
-		return p, p.ask(me, Union(p.Base.Witnesses, p.Value.Witnesses)), wire.View{}
+		return p, p.requests(self, UnionMembers(p.CurrentView.Voters, p.Value.Voters)), wire.View{}
 	}
-	if Majority(p.Base.Witnesses, p.votes) && Majority(p.Value.Witnesses, p.votes) {
+	if HasMajority(p.CurrentView.Voters, p.votes) && HasMajority(p.Value.Voters, p.votes) {
 		return p, nil, p.Value
 	}
 	return p, nil, wire.View{}
 }
 
 // Majority counts distinct identities of a set among the votes.
-func Majority(set []wire.Seat, votes map[string]bool) bool {
+func HasMajority(set []wire.Member, votes map[string]bool) bool {
 	count := 0
 	for _, s := range set {
 		if votes[s.ID] {
@@ -119,17 +119,17 @@
 	return count > len(set)/2
 }
 
-func Union(a, b []wire.Seat) []wire.Seat {
-	out := append([]wire.Seat(nil), a...)
+func UnionMembers(a, b []wire.Member) []wire.Member {
+	out := append([]wire.Member(nil), a...)
 	for _, s := range b {
-		if !Has(a, s.ID) {
+		if !ContainsMember(a, s.ID) {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-func Has(set []wire.Seat, id string) bool {
+func ContainsMember(set []wire.Member, id string) bool {
 	for _, s := range set {
 		if s.ID == id {
 			return true
--- a/core/register/register_test.go
+++ b/core/register/register_test.go
@@ -14,33 +14,33 @@
 	"sorrelloom/core/wire"
 )
 
-func seat(id string) wire.Seat { return wire.Seat{ID: id, Address: id} }
+func member(id string) wire.Member { return wire.Member{ID: id, Address: id} }
 
 type message struct {
-	to, kind, text string
-	body           wire.RegisterBody
+	receiver, kind, key string
+	request             wire.PaxosMessage
 }
 
 type candidate struct {
-	me      wire.Seat
-	run     string
-	wanted  wire.View
-	current Proposal
-	tries   int
+	self        wire.Member
+	incarnation string
+	proposed    wire.View
+	current     Proposal
+	attempts    int
 }
 
 // world is one point of the exploration; it is copied before each step.
 type world struct {
-	witnesses  map[string]State
+	acceptors  map[string]Acceptor
 	candidates [2]candidate
 	inflight   []message
 	decided    map[string]bool
 }
 
 func (w world) clone() world {
-	c := world{witnesses: map[string]State{}, candidates: w.candidates, inflight: append([]message(nil), w.inflight...), decided: map[string]bool{}}
-	for id, s := range w.witnesses {
-		c.witnesses[id] = s
+	c := world{acceptors: map[string]Acceptor{}, candidates: w.candidates, inflight: append([]message(nil), w.inflight...), decided: map[string]bool{}}
+	for id, s := range w.acceptors {
+		c.acceptors[id] = s
 	}
 	for v := range w.decided {
 		c.decided[v] = true
@@ -52,21 +52,21 @@
 // that the same point reached by two ways is explored once.
 func (w world) key() string {
 	var b strings.Builder
-	ballot := func(x wire.Ballot) { b.WriteByte('0' + byte(x.Round)); b.WriteString(x.ID) }
+	ballot := func(x wire.Ballot) { b.WriteByte('0' + byte(x.Round)); b.WriteString(x.ProposerID) }
 	for _, id := range []string{"A", "B", "C", "D"} {
-		s := w.witnesses[id]
-		b.WriteByte('0' + byte(s.Known.Epoch))
+		s := w.acceptors[id]
+		b.WriteByte('0' + byte(s.KnownView.Epoch))
 		ballot(s.Promised)
 		ballot(s.Accepted)
-		b.WriteString(short(s.Value) + ";")
+		b.WriteString(shortName(s.Value) + ";")
 	}
 	for _, c := range w.candidates {
 		p := c.current
-		b.WriteByte('0' + byte(c.tries))
+		b.WriteByte('0' + byte(c.attempts))
 		ballot(p.Ballot)
-		ballot(p.best)
-		ballot(p.Highest)
-		b.WriteString(short(p.Value))
+		ballot(p.highestAccepted)
+		ballot(p.HighestPromised)
+		b.WriteString(shortName(p.Value))
 		if p.accepting {
 			b.WriteByte('!')
 		}
@@ -79,7 +79,7 @@
 	}
 	texts := make([]string, len(w.inflight))
 	for i, m := range w.inflight {
-		texts[i] = m.text
+		texts[i] = m.key
 	}
 	slices.Sort(texts)
 	for _, text := range slices.Compact(texts) {
@@ -91,23 +91,23 @@
 	return b.String()
 }
 
-func short(v wire.View) string { return v.Primary.ID + string('0'+rune(v.Boot)) }
+func shortName(v wire.View) string { return v.Primary.ID + string('0'+rune(v.BootID)) }
 
 func viewName(v wire.View) string {
-	return fmt.Sprintf("%d %d %s %v %v", v.Epoch, v.Boot, v.Primary.ID, v.Backups, v.Witnesses)
+	return fmt.Sprintf("%d %d %s %v %v", v.Epoch, v.BootID, v.Primary.ID, v.Backups, v.Voters)
 }
 
 func (w *world) begin(i int, base wire.View) {
 	c := &w.candidates[i]
-	c.tries++
-	var asks []wire.RegisterBody
-	c.current, asks = Begin(base, c.wanted, c.me, c.run, wire.Ballot{Round: max(c.current.Ballot.Round, c.current.Highest.Round)})
-	w.post(wire.Prepare, asks)
+	c.attempts++
+	var asks []wire.PaxosMessage
+	c.current, asks = NewProposal(base, c.proposed, c.self, c.incarnation, wire.Ballot{Round: max(c.current.Ballot.Round, c.current.HighestPromised.Round)})
+	w.send(wire.KindPrepare, asks)
 }
 
-func (w *world) post(kind string, asks []wire.RegisterBody) {
+func (w *world) send(kind string, asks []wire.PaxosMessage) {
 	for _, b := range asks {
-		text := fmt.Sprint(kind, b.To, b.From.ID, b.Ballot, short(b.Value))
+		text := fmt.Sprint(kind, b.To, b.From.ID, b.Ballot, shortName(b.Value))
 		w.inflight = append(w.inflight, message{b.To, kind, text, b})
 	}
 }
@@ -116,34 +116,34 @@
 func (w *world) deliver(at int, lose bool) {
 	m := w.inflight[at]
 	w.inflight = append(w.inflight[:at], w.inflight[at+1:]...)
-	state, reply, ok := w.witnesses[m.to].Witness(seat(m.to), m.kind, m.body)
+	state, reply, ok := w.acceptors[m.receiver].HandleRequest(member(m.receiver), m.kind, m.request)
 	if !ok {
 		return
 	}
-	w.witnesses[m.to] = state
+	w.acceptors[m.receiver] = state
 	if lose {
 		return
 	}
-	back := wire.PrepareBack
-	if m.kind == wire.Accept {
-		back = wire.AcceptBack
+	back := wire.KindPrepareReply
+	if m.kind == wire.KindAccept {
+		back = wire.KindAcceptReply
 	}
 	for i := range w.candidates {
 		c := &w.candidates[i]
-		if c.me.ID != m.body.From.ID {
+		if c.self.ID != m.request.From.ID {
 			continue
 		}
-		var asks []wire.RegisterBody
+		var asks []wire.PaxosMessage
 		var decided wire.View
-		c.current, asks, decided = c.current.Take(c.me, back, reply)
-		w.post(wire.Accept, asks)
+		c.current, asks, decided = c.current.HandleReply(c.self, back, reply)
+		w.send(wire.KindAccept, asks)
 		if decided.Epoch > 0 {
 			w.decided[viewName(decided)] = true
 		}
 	}
 }
 
-func explore(t *testing.T, start world, base wire.View, tries, budget int) (points, decisions int) {
+func explore(t *testing.T, start world, base wire.View, attempts, budget int) (states, decisions int) {
 	seen := map[string]bool{}
 	stack := []world{start}
 	for len(stack) > 0 {
@@ -162,7 +162,7 @@
 		}
 		decisions += len(w.decided)
 		for i := range w.candidates {
-			if w.candidates[i].tries < tries {
+			if w.candidates[i].attempts < attempts {
 				next := w.clone()
 				next.begin(i, base)
 				stack = append(stack, next)
@@ -180,29 +180,29 @@
 }
 
 func TestNoEpochIsDecidedTwice(t *testing.T) {
-	three := []wire.Seat{seat("A"), seat("B"), seat("C")}
-	changed := []wire.Seat{seat("A"), seat("B"), seat("D")}
-	base := wire.View{Epoch: 1, Primary: seat("A"), Backups: []wire.Seat{seat("B")}, Witnesses: three}
-	byA := wire.View{Epoch: 2, Primary: seat("A"), Backups: []wire.Seat{seat("C")}, Witnesses: three}
-	byB := wire.View{Epoch: 2, Primary: seat("B"), Backups: []wire.Seat{seat("C")}, Witnesses: three}
-	again := wire.View{Epoch: 2, Boot: 2, Primary: seat("A"), Backups: []wire.Seat{seat("B")}, Witnesses: three}
-	byNew := wire.View{Epoch: 2, Primary: seat("A"), Backups: []wire.Seat{seat("B")}, Witnesses: changed}
-	grown := wire.View{Epoch: 2, Primary: seat("A"), Backups: []wire.Seat{seat("B"), seat("C")}, Witnesses: append(slices.Clone(three), seat("D"))}
+	three := []wire.Member{member("A"), member("B"), member("C")}
+	changed := []wire.Member{member("A"), member("B"), member("D")}
+	base := wire.View{Epoch: 1, Primary: member("A"), Backups: []wire.Member{member("B")}, Voters: three}
+	byA := wire.View{Epoch: 2, Primary: member("A"), Backups: []wire.Member{member("C")}, Voters: three}
+	byB := wire.View{Epoch: 2, Primary: member("B"), Backups: []wire.Member{member("C")}, Voters: three}
+	again := wire.View{Epoch: 2, BootID: 2, Primary: member("A"), Backups: []wire.Member{member("B")}, Voters: three}
+	byNew := wire.View{Epoch: 2, Primary: member("A"), Backups: []wire.Member{member("B")}, Voters: changed}
+	grown := wire.View{Epoch: 2, Primary: member("A"), Backups: []wire.Member{member("B"), member("C")}, Voters: append(slices.Clone(three), member("D"))}
 	table := []struct {
 		name  string
 		a, b  wire.View
-		one   wire.Seat
-		other wire.Seat
+		one   wire.Member
+		other wire.Member
 	}{
-		{"two candidates", byA, byB, seat("A"), seat("B")},
-		{"a candidate and its next run, with the same round", byA, again, seat("A"), seat("A")},
-		{"one of them exchanges a witness for an empty one", byNew, byB, seat("A"), seat("B")},
-		{"one of them adds a witness and a backup", grown, byB, seat("A"), seat("B")},
+		{"two candidates", byA, byB, member("A"), member("B")},
+		{"a candidate and its next run, with the same round", byA, again, member("A"), member("A")},
+		{"one of them exchanges a witness for an empty one", byNew, byB, member("A"), member("B")},
+		{"one of them adds a witness and a backup", grown, byB, member("A"), member("B")},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
-			w := world{witnesses: map[string]State{"A": {Known: base}, "B": {Known: base}, "C": {Known: base}, "D": {}}, decided: map[string]bool{}}
-			w.candidates = [2]candidate{{me: row.one, run: "1", wanted: row.a}, {me: row.other, run: "2", wanted: row.b}}
+			w := world{acceptors: map[string]Acceptor{"A": {KnownView: base}, "B": {KnownView: base}, "C": {KnownView: base}, "D": {}}, decided: map[string]bool{}}
+			w.candidates = [2]candidate{{self: row.one, incarnation: "1", proposed: row.a}, {self: row.other, incarnation: "2", proposed: row.b}}
 			points, decisions := explore(t, w, base, 1, 3_000_000)
 			if decisions == 0 {
 				t.Fatal("nothing was ever decided: the exploration proves nothing")
@@ -214,12 +214,12 @@
 
 // TestAnEmptyDiskNeverVotesAsTheOldOne wipes a witness after its vote: its
 // address answers, its identity does not, so its voice is not counted twice.
-func TestAnEmptyDiskNeverVotesAsTheOldOne(t *testing.T) {
-	base := wire.View{Epoch: 1, Primary: seat("A"), Backups: []wire.Seat{seat("B")}, Witnesses: []wire.Seat{seat("A"), seat("B"), seat("C")}}
-	_, asks := Begin(base, wire.View{Epoch: 2, Primary: seat("B")}, seat("B"), "1", wire.Ballot{})
-	empty := wire.Seat{ID: "fresh", Address: "C"}
+func TestEmptyDiskNeverVotesAsPreviousMember(t *testing.T) {
+	base := wire.View{Epoch: 1, Primary: member("A"), Backups: []wire.Member{member("B")}, Voters: []wire.Member{member("A"), member("B"), member("C")}}
+	_, asks := NewProposal(base, wire.View{Epoch: 2, Primary: member("B")}, member("B"), "1", wire.Ballot{})
+	empty := wire.Member{ID: "fresh", Address: "C"}
 	for _, ask := range asks {
-		if _, _, voted := (State{}).Witness(empty, wire.Prepare, ask); voted {
+		if _, _, voted := (Acceptor{}).HandleRequest(empty, wire.KindPrepare, ask); voted {
 			t.Errorf("an empty disk answered for %s", ask.To)
 		}
 	}
@@ -227,20 +227,20 @@
 
 // TestAVoteThatIsForgottenBreaksThePromise shows that the exploration can
 // fail: with witnesses that forget what they promised, it must find two views.
-func TestAVoteThatIsForgottenBreaksThePromise(t *testing.T) {
-	three := []wire.Seat{seat("A"), seat("B"), seat("C")}
-	base := wire.View{Epoch: 1, Primary: seat("A"), Backups: []wire.Seat{seat("B")}, Witnesses: three}
-	w := world{witnesses: map[string]State{"A": {Known: base}, "B": {Known: base}, "C": {Known: base}}, decided: map[string]bool{}}
+func TestForgottenVotesViolateSafety(t *testing.T) {
+	three := []wire.Member{member("A"), member("B"), member("C")}
+	base := wire.View{Epoch: 1, Primary: member("A"), Backups: []wire.Member{member("B")}, Voters: three}
+	w := world{acceptors: map[string]Acceptor{"A": {KnownView: base}, "B": {KnownView: base}, "C": {KnownView: base}}, decided: map[string]bool{}}
 	w.candidates = [2]candidate{
-		{me: seat("A"), wanted: wire.View{Epoch: 2, Primary: seat("A"), Witnesses: three}},
-		{me: seat("B"), wanted: wire.View{Epoch: 2, Primary: seat("B"), Witnesses: three}},
+		{self: member("A"), proposed: wire.View{Epoch: 2, Primary: member("A"), Voters: three}},
+		{self: member("B"), proposed: wire.View{Epoch: 2, Primary: member("B"), Voters: three}},
 	}
 	for i := range w.candidates {
 		w.begin(i, base)
 		for len(w.inflight) > 0 {
 			w.deliver(0, false)
-			for id := range w.witnesses {
-				w.witnesses[id] = State{Known: base}
+			for id := range w.acceptors {
+				w.acceptors[id] = Acceptor{KnownView: base}
 			}
 		}
 	}
--- a/core/register/sampled_test.go
+++ b/core/register/sampled_test.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	paths     = 8_000
-	pathSteps = 160
-	pathTries = 4
+	sampledPaths    = 8_000
+	stepsPerPath    = 160
+	attemptsPerPath = 4
 )
 
-func seatsOf(ids ...string) []wire.Seat {
-	out := make([]wire.Seat, 0, len(ids))
+func membersOf(ids ...string) []wire.Member {
+	out := make([]wire.Member, 0, len(ids))
 	for _, id := range ids {
-		out = append(out, seat(id))
+		out = append(out, member(id))
 	}
 	return out
 }
 
 // fiveWitnesses is a point at which two members want different views after the first.
-func fiveWitnesses(a, b wire.View) (world, wire.View) {
-	five := seatsOf("A", "B", "C", "D", "E")
-	base := wire.View{Epoch: 1, Primary: five[0], Backups: five[1:3], Witnesses: five}
-	w := world{witnesses: map[string]State{"F": {}, "G": {}}, decided: map[string]bool{}}
+func fiveAcceptors(a, b wire.View) (world, wire.View) {
+	five := membersOf("A", "B", "C", "D", "E")
+	base := wire.View{Epoch: 1, Primary: five[0], Backups: five[1:3], Voters: five}
+	w := world{acceptors: map[string]Acceptor{"F": {}, "G": {}}, decided: map[string]bool{}}
 	for _, s := range five {
-		w.witnesses[s.ID] = State{Known: base}
+		w.acceptors[s.ID] = Acceptor{KnownView: base}
 	}
-	w.candidates = [2]candidate{{me: a.Primary, run: "1", wanted: a}, {me: b.Primary, run: "2", wanted: b}}
+	w.candidates = [2]candidate{{self: a.Primary, incarnation: "1", proposed: a}, {self: b.Primary, incarnation: "2", proposed: b}}
 	return w, base
 }
 
 // walk takes one path at random. A witness forgets with the chance given after each step.
-func walk(w *world, base wire.View, chance *rand.Rand, forgets float64) {
-	for range pathSteps {
+func walkRandomly(w *world, base wire.View, chance *rand.Rand, forgets float64) {
+	for range stepsPerPath {
 		i := chance.IntN(2)
 		c := &w.candidates[i]
 		switch pick := chance.IntN(20); {
-		case c.tries == 0 || pick == 0 && c.tries < pathTries:
-			if chance.IntN(2) == 0 && c.tries > 0 {
+		case c.attempts == 0 || pick == 0 && c.attempts < attemptsPerPath:
+			if chance.IntN(2) == 0 && c.attempts > 0 {
 				// The next run of the candidate knows nothing of its ballots.
-				c.run, c.current = fmt.Sprintf("%s+", c.run), Proposal{}
+				c.incarnation, c.current = fmt.Sprintf("%s+", c.incarnation), Proposal{}
 			}
 			w.begin(i, base)
 		case len(w.inflight) == 0:
@@ -61,21 +61,21 @@
 			w.deliver(chance.IntN(len(w.inflight)), chance.IntN(8) == 0)
 		}
 		if forgets > 0 && chance.Float64() < forgets {
-			w.witnesses["C"] = State{Known: base}
+			w.acceptors["C"] = Acceptor{KnownView: base}
 		}
 	}
 }
 
 // TestNoEpochIsDecidedTwiceByFive samples paths.
 func TestNoEpochIsDecidedTwiceByFive(t *testing.T) {
-	five := seatsOf("A", "B", "C", "D", "E")
-	one, two := seatsOf("A", "B", "C", "D", "F"), seatsOf("A", "B", "C", "F", "G")
-	byA := wire.View{Epoch: 2, Boot: 1, Primary: seat("A"), Backups: seatsOf("C", "D"), Witnesses: five}
-	byB := wire.View{Epoch: 2, Boot: 2, Primary: seat("B"), Backups: seatsOf("C", "E"), Witnesses: five}
+	five := membersOf("A", "B", "C", "D", "E")
+	one, two := membersOf("A", "B", "C", "D", "F"), membersOf("A", "B", "C", "F", "G")
+	byA := wire.View{Epoch: 2, BootID: 1, Primary: member("A"), Backups: membersOf("C", "D"), Voters: five}
+	byB := wire.View{Epoch: 2, BootID: 2, Primary: member("B"), Backups: membersOf("C", "E"), Voters: five}
 	exchanged := byA
-	exchanged.Witnesses = one
+	exchanged.Voters = one
 	both := byB
-	both.Witnesses = two
+	both.Voters = two
 	for _, row := range []struct {
 		name    string
 		a, b    wire.View
@@ -89,9 +89,9 @@
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			decided, twice := 0, 0
-			for path := range uint64(paths) {
-				w, base := fiveWitnesses(row.a, row.b)
-				walk(&w, base, rand.New(rand.NewPCG(path, 17)), row.forgets)
+			for path := range uint64(sampledPaths) {
+				w, base := fiveAcceptors(row.a, row.b)
+				walkRandomly(&w, base, rand.New(rand.NewPCG(path, 17)), row.forgets)
 				decided += min(len(w.decided), 1)
 				if len(w.decided) < 2 {
 					continue
@@ -100,9 +100,9 @@
 					t.Fatalf("path %d decided one epoch twice: %v", path, w.decided)
 				}
 			}
-			t.Logf("decided in %d of %d paths, twice in %d", decided, paths, twice)
-			if decided < paths/10 {
-				t.Errorf("decided in %d of %d paths only", decided, paths)
+			t.Logf("decided in %d of %d paths, twice in %d", decided, sampledPaths, twice)
+			if decided < sampledPaths/10 {
+				t.Errorf("decided in %d of %d paths only", decided, sampledPaths)
 			}
 			if row.forgets > 0 && twice == 0 {
 				t.Error("a witness that forgets was not found")
--- a/core/relay/contract.go
+++ b/core/relay/contract.go
@@ -13,4 +13,4 @@
 package relay
 
 // AskCommand is the one kind of request that a relay takes.
-const AskCommand = "command"
+const RequestCommand = "command"
--- a/core/relay/load_test.go
+++ b/core/relay/load_test.go
@@ -13,71 +13,71 @@
 )
 
 // lineTakes is how long a line takes between the relay and a keeper.
-const lineTakes = 2 * ms
+const networkDelay = 2 * ms
 
 // cluster is three keepers of which one leads or none. The leader answers commands
 // in their order, each after the span that answerTakes gives, or never.
 type cluster struct {
 	*testing.T
-	relay       *Relay
+	client      *Client
 	now         time.Duration
 	leader      string
 	frozen      map[string]bool
 	answerTakes func() time.Duration
-	agenda      map[time.Duration][]func()
+	scheduled   map[time.Duration][]func()
 	// sends counts the commands that arrive, proofs the questions for a proof.
-	sends       int
-	proofs      int
-	copies      map[uint64]int
-	arrivals    []time.Duration
-	outstanding map[uint64]bool
-	most        int
-	answers     map[uint64]ledger.Answer
-	answeredAt  map[uint64]time.Duration
-	moves       int
-	lastDone    time.Duration
+	sends          int
+	probes         int
+	copies         map[uint64]int
+	arrivals       []time.Duration
+	outstanding    map[uint64]bool
+	maxOutstanding int
+	answers        map[uint64]ledger.Result
+	answeredAt     map[uint64]time.Duration
+	switches       int
+	lastReplyAt    time.Duration
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
 	c := &cluster{
-		T: t, relay: New(Env{Address: "door", Keepers: []string{"k0", "k1", "k2"}, First: seed}), leader: "k0",
-		frozen: map[string]bool{}, agenda: map[time.Duration][]func(){},
+		T: t, client: New(Config{Address: "door", Replicas: []string{"k0", "k1", "k2"}, FirstCommandID: seed}), leader: "k0",
+		frozen: map[string]bool{}, scheduled: map[time.Duration][]func(){},
 		copies: map[uint64]int{}, outstanding: map[uint64]bool{},
-		answers: map[uint64]ledger.Answer{}, answeredAt: map[uint64]time.Duration{},
+		answers: map[uint64]ledger.Result{}, answeredAt: map[uint64]time.Duration{},
 		answerTakes: func() time.Duration { return 10 * ms },
 	}
 	c.step(machine.Input{})
-	c.pass(100 * ms)
+	c.advance(100 * ms)
 	return c
 }
 
 func (c *cluster) after(d time.Duration, do func()) {
 	at := (c.now + max(d, ms)).Truncate(ms)
-	c.agenda[at] = append(c.agenda[at], do)
+	c.scheduled[at] = append(c.scheduled[at], do)
 }
 
 func (c *cluster) step(in machine.Input) {
-	primary := c.relay.route.primary
-	out := c.relay.Step(c.now, in)
-	if primary != c.relay.route.primary {
-		c.moves++
-	}
-	for _, a := range out.Answers {
-		if _, twice := c.answers[a.Key]; twice {
-			c.Errorf("%d is answered twice", a.Key)
+	primary := c.client.leader.primary
+	out := c.client.Step(c.now, in)
+	if primary != c.client.leader.primary {
+		c.switches++
+	}
+	for _, a := range out.Responses {
+		if _, twice := c.answers[a.RequestID]; twice {
+			c.Errorf("%d is answered twice", a.RequestID)
 		}
-		c.answers[a.Key], c.answeredAt[a.Key] = a.Body.(ledger.Answer), c.now
+		c.answers[a.RequestID], c.answeredAt[a.RequestID] = a.Body.(ledger.Result), c.now
 	}
-	for _, s := range out.Sends {
-		b := s.Body.(wire.CommandBody)
-		c.after(lineTakes, func() { c.arrive(s.To, b) })
+	for _, s := range out.Messages {
+		b := s.Body.(wire.CommandRequest)
+		c.after(networkDelay, func() { c.arrive(s.To, b) })
 	}
 }
 
-func (c *cluster) arrive(keeper string, b wire.CommandBody) {
-	prove := b.Command.Kind == ledger.KindProve
+func (c *cluster) arrive(keeper string, b wire.CommandRequest) {
+	prove := b.Command.Kind == ledger.KindConfirmLeadership
 	if prove {
-		c.proofs++
+		c.probes++
 	} else {
 		c.sends++
 		c.copies[b.ID]++
@@ -87,21 +87,21 @@
 		return
 	}
 	if keeper != c.leader {
-		c.reply(keeper, 0, wire.CommandBackBody{ID: b.ID, Primary: c.leader, Answer: ledger.Answer{Code: code.NotPrimary}})
+		c.reply(keeper, 0, wire.CommandReply{ID: b.ID, Primary: c.leader, Result: ledger.Result{Code: code.NotPrimary}})
 		return
 	}
 	if prove {
-		c.reply(keeper, 0, wire.CommandBackBody{ID: b.ID, Received: true, Answer: ledger.Answer{Code: code.NoAuthority}})
+		c.reply(keeper, 0, wire.CommandReply{ID: b.ID, Received: true, Result: ledger.Result{Code: code.ReplicasUnavailable}})
 	} else {
 		c.outstanding[b.ID] = true
-		c.most = max(c.most, len(c.outstanding))
+		c.maxOutstanding = max(c.maxOutstanding, len(c.outstanding))
 	}
-	c.lastDone = max(c.lastDone, c.now+c.answerTakes())
-	c.reply(keeper, c.lastDone-c.now, wire.CommandBackBody{ID: b.ID, Answer: ledger.Answer{Code: code.OK, Time: c.now}})
+	c.lastReplyAt = max(c.lastReplyAt, c.now+c.answerTakes())
+	c.reply(keeper, c.lastReplyAt-c.now, wire.CommandReply{ID: b.ID, Result: ledger.Result{Code: code.OK, Time: c.now}})
 }
 
 // reply answers unless the keeper has lost the lead or stands still by then.
-func (c *cluster) reply(keeper string, in time.Duration, b wire.CommandBackBody) {
+func (c *cluster) reply(keeper string, in time.Duration, b wire.CommandReply) {
 	lead := c.leader == keeper
 	c.after(in, func() {
 		if c.frozen[keeper] || lead && c.leader != keeper {
@@ -110,54 +110,54 @@
 		if !b.Received {
 			delete(c.outstanding, b.ID)
 		}
-		c.after(lineTakes, func() {
-			line := machine.Line{Wire: 1, Kind: wire.CommandBack, From: keeper, Body: machine.MustMarshal(b)}
-			c.step(machine.Input{Line: line})
+		c.after(networkDelay, func() {
+			line := machine.Message{Version: 1, Kind: wire.KindCommandReply, From: keeper, Body: machine.MustMarshal(b)}
+			c.step(machine.Input{Message: line})
 		})
 	})
 }
 
-func (c *cluster) pass(d time.Duration) {
+func (c *cluster) advance(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.now += ms
-		due := c.agenda[c.now]
-		delete(c.agenda, c.now)
+		due := c.scheduled[c.now]
+		delete(c.scheduled, c.now)
 		for _, do := range due {
 			do()
 		}
-		if c.relay.Wakeup() <= c.now {
+		if c.client.NextTimer() <= c.now {
 			c.step(machine.Input{})
 		}
 	}
 }
 
-func (c *cluster) ask(key uint64, wait time.Duration) {
-	command := ledger.Command{Kind: ledger.KindAccept}
-	c.step(machine.Input{Ask: machine.Ask{Key: key, Kind: AskCommand, Value: command, Wait: wait}})
+func (c *cluster) submit(key uint64, wait time.Duration) {
+	command := ledger.Command{Kind: ledger.KindAcceptJob}
+	c.step(machine.Input{Request: machine.Request{ID: key, Kind: RequestCommand, Decoded: command, Wait: wait}})
 }
 
 // TestRetriesDoNotGrow has 300 commands open while the leader changes three times
 // within 5 s, and no leader answers any of them. Each goes to each leader once.
-func TestRetriesDoNotGrow(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	const commands, changes = 300, 3
 	for seed := uint64(1); seed <= 20; seed++ {
 		c := newCluster(t, seed)
 		c.answerTakes = func() time.Duration { return time.Minute }
 		for key := uint64(1); key <= commands; key++ {
-			c.ask(key, 8*time.Second)
+			c.submit(key, 8*time.Second)
 		}
 		for change := 1; change <= changes; change++ {
-			c.pass(500 * ms)
-			c.leader, c.lastDone = "", 0
+			c.advance(500 * ms)
+			c.leader, c.lastReplyAt = "", 0
 			clear(c.outstanding)
-			c.pass(1000 * ms)
+			c.advance(1000 * ms)
 			c.leader = fmt.Sprintf("k%d", change%3)
 		}
-		c.pass(500 * ms)
+		c.advance(500 * ms)
 		if seed == 1 {
-			t.Logf("%d sends of %d commands, %d questions for a proof", c.sends, commands, c.proofs)
+			t.Logf("%d sends of %d commands, %d questions for a proof", c.sends, commands, c.probes)
 		}
-		if most := window * (changes + 1); c.sends > most {
+		if most := maxInFlight * (changes + 1); c.sends > most {
 			t.Errorf("seed %d: %d sends of %d commands, want at most %d", seed, c.sends, commands, most)
 		}
 		for id, n := range c.copies {
@@ -165,28 +165,28 @@
 				t.Errorf("seed %d: command %d was sent %d times", seed, id, n)
 			}
 		}
-		if c.most > window {
-			t.Errorf("seed %d: %d commands were at the leader", seed, c.most)
+		if c.maxOutstanding > maxInFlight {
+			t.Errorf("seed %d: %d commands were at the leader", seed, c.maxOutstanding)
 		}
-		if c.proofs > 200 {
-			t.Errorf("seed %d: %d questions for a proof in %s", seed, c.proofs, c.now)
+		if c.probes > 200 {
+			t.Errorf("seed %d: %d questions for a proof in %s", seed, c.probes, c.now)
 		}
 	}
 }
 
 // TestABusyLeaderIsNotLeft answers everything three seconds late, but stands still
 // for no moment: nothing is sent twice and the relay stays.
-func TestABusyLeaderIsNotLeft(t *testing.T) {
+func TestSlowLeaderIsKept(t *testing.T) {
 	c := newCluster(t, 1)
 	c.answerTakes = func() time.Duration { return 3 * time.Second }
-	moves := c.moves
+	moves := c.switches
 	for key := uint64(1); key <= 100; key++ {
-		c.ask(key, 5*time.Second)
-		c.pass(10 * ms)
+		c.submit(key, 5*time.Second)
+		c.advance(10 * ms)
 	}
-	c.pass(4 * time.Second)
-	if c.moves != moves || c.sends != 100 {
-		t.Errorf("%d moves and %d sends of 100 commands", c.moves-moves, c.sends)
+	c.advance(4 * time.Second)
+	if c.switches != moves || c.sends != 100 {
+		t.Errorf("%d moves and %d sends of 100 commands", c.switches-moves, c.sends)
 	}
 	for key := uint64(1); key <= 100; key++ {
 		if a := c.answers[key]; a.Code != code.OK {
@@ -197,34 +197,34 @@
 
 // TestASilentLeaderIsLeftWithinASecond: it stands still with commands open, and the
 // others know soon who leads instead.
-func TestASilentLeaderIsLeftWithinASecond(t *testing.T) {
+func TestSilentLeaderIsReplacedWithinASecond(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		c := newCluster(t, seed)
-		c.pass(time.Duration(seed) * 37 * ms)
+		c.advance(time.Duration(seed) * 37 * ms)
 		frozeAt := c.now
 		c.frozen[c.leader], c.leader = true, "k1"
-		c.ask(1, 5*time.Second)
+		c.submit(1, 5*time.Second)
 		for c.answers[1].Code != code.OK || c.answeredAt[1] == 0 {
 			if c.now-frozeAt > time.Second {
 				t.Fatalf("seed %d: no answer after %s", seed, c.now-frozeAt)
 			}
-			c.pass(ms)
+			c.advance(ms)
 		}
 	}
 }
 
 // TestNobodyLeads for 10 s: keepers are asked at a pace that slows down, no command is
 // sent, and the one that leads in the end is found soon.
-func TestNobodyLeads(t *testing.T) {
+func TestNoLeader(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		c := newCluster(t, seed)
 		c.leader = ""
-		before := c.proofs
+		before := c.probes
 		for key := uint64(1); key <= 100; key++ {
-			c.ask(key, time.Second)
-			c.pass(100 * ms)
+			c.submit(key, time.Second)
+			c.advance(100 * ms)
 		}
-		asked := c.proofs - before
+		asked := c.probes - before
 		if seed == 1 {
 			t.Logf("%d questions for a proof in 10 s", asked)
 		}
@@ -234,8 +234,8 @@
 		sends := c.sends
 		c.leader = "k1"
 		from := c.now
-		for !c.relay.route.confirmed {
-			if c.pass(ms); c.now-from > 350*ms {
+		for !c.client.leader.confirmed {
+			if c.advance(ms); c.now-from > 350*ms {
 				t.Fatalf("seed %d: no leader is found after %s", seed, c.now-from)
 			}
 		}
@@ -247,17 +247,17 @@
 
 // TestOpenCommandsAreSpread: after a change of leader they do not come as one burst,
 // and those with the least time left come first.
-func TestOpenCommandsAreSpread(t *testing.T) {
+func TestPendingCommandsAreSpread(t *testing.T) {
 	c := newCluster(t, 1)
 	c.leader = ""
 	chance := rand.New(rand.NewPCG(1, 1))
 	for key := uint64(1); key <= 200; key++ {
-		c.ask(key, time.Duration(3000+chance.IntN(2000))*ms)
+		c.submit(key, time.Duration(3000+chance.IntN(2000))*ms)
 	}
-	c.pass(900 * ms)
+	c.advance(900 * ms)
 	first := len(c.arrivals)
 	c.leader = "k1"
-	c.pass(600 * ms)
+	c.advance(600 * ms)
 	arrivals := c.arrivals[first:]
 	if len(arrivals) < 200 {
 		t.Fatalf("%d arrive", len(arrivals))
@@ -271,7 +271,7 @@
 			t.Errorf("%d commands arrive within 10 ms at %s", n, at*10*ms)
 		}
 	}
-	if took := arrivals[199] - arrivals[0]; took > spreadMost+10*ms {
+	if took := arrivals[199] - arrivals[0]; took > maxSpread+10*ms {
 		t.Errorf("spread over %s", took)
 	}
 }
@@ -279,7 +279,7 @@
 // TestWhatWouldBeLateIsAnsweredAtOnce: the leader answers slowly, and more is asked
 // than it can take. What it cannot serve is told so early, with when to come back,
 // and was never sent.
-func TestWhatWouldBeLateIsAnsweredAtOnce(t *testing.T) {
+func TestOverloadIsRejectedEarly(t *testing.T) {
 	const wait = 2 * time.Second
 	c := newCluster(t, 1)
 	done := time.Duration(0)
@@ -293,11 +293,11 @@
 		for range 8 { // 800 a second
 			key++
 			askedAt[key] = c.now
-			c.ask(key, wait)
+			c.submit(key, wait)
 		}
-		c.pass(10 * ms)
+		c.advance(10 * ms)
 	}
-	c.pass(3 * time.Second)
+	c.advance(3 * time.Second)
 	served, refused, unclear := 0, 0, 0
 	for k := uint64(1); k <= key; k++ {
 		a, ok := c.answers[k]
@@ -306,9 +306,9 @@
 			t.Fatalf("%d has no answer", k)
 		case a.Code == code.OK:
 			served++
-		case a.Code == code.NoAnswer:
+		case a.Code == code.NoResponse:
 			unclear++
-		case a.Code != code.InboxFull || a.RetryAfter < retryAfter:
+		case a.Code != code.QueueFull || a.RetryAfter < retryAfter:
 			t.Errorf("%d: %+v", k, a)
 		default:
 			refused++
@@ -331,26 +331,26 @@
 
 // TestAnAnswerOfAnEarlierLifeIsDropped: two runs of one process number their
 // commands apart, so that a late answer meets no other request.
-func TestAnAnswerOfAnEarlierLifeIsDropped(t *testing.T) {
-	p := begin(t, "k0")
-	p.back(5*ms, "k0", "prove", received)
-	p.ask(10*ms, 1, ledger.KindAccept, time.Second)
-	late := p.last[ledger.KindAccept]
-	next := &play{
-		T: t, relay: New(Env{Address: "door", Keepers: []string{"k0"}, First: 1 << 40}),
-		last: map[string]uint64{}, counts: map[string]int{}, answers: map[uint64]ledger.Answer{},
+func TestReplyToEarlierIncarnationIsDropped(t *testing.T) {
+	p := newHarness(t, "k0")
+	p.reply(5*ms, "k0", "prove", received)
+	p.submit(10*ms, 1, ledger.KindAcceptJob, time.Second)
+	late := p.last[ledger.KindAcceptJob]
+	next := &harness{
+		T: t, client: New(Config{Address: "door", Replicas: []string{"k0"}, FirstCommandID: 1 << 40}),
+		last: map[string]uint64{}, counts: map[string]int{}, answers: map[uint64]ledger.Result{},
 	}
 	next.step(0, machine.Input{})
-	next.back(5*ms, "k0", "prove", received)
-	next.ask(10*ms, 1, ledger.KindRead, time.Second)
-	own := next.last[ledger.KindRead]
-	next.last[ledger.KindRead] = late
-	next.back(12*ms, "k0", ledger.KindRead, good)
+	next.reply(5*ms, "k0", "prove", received)
+	next.submit(10*ms, 1, ledger.KindReadJob, time.Second)
+	own := next.last[ledger.KindReadJob]
+	next.last[ledger.KindReadJob] = late
+	next.reply(12*ms, "k0", ledger.KindReadJob, success)
 	if len(next.answers) > 0 {
 		t.Fatalf("the answer to %d of the earlier life answers %d", late, own)
 	}
-	next.last[ledger.KindRead] = own
-	next.back(14*ms, "k0", ledger.KindRead, good)
+	next.last[ledger.KindReadJob] = own
+	next.reply(14*ms, "k0", ledger.KindReadJob, success)
 	if len(next.answers) != 1 {
 		t.Error("its own answer is not taken")
 	}
@@ -358,35 +358,35 @@
 
 // TestACommandCarriesItsTime: how long the caller still waits, and once a leader has
 // told the ledger's time, when that is over by it, never too early.
-func TestACommandCarriesItsTime(t *testing.T) {
-	p := begin(t, "k0")
-	p.back(5*ms, "k0", "prove", received)
-	p.ask(10*ms, 1, ledger.KindAccept, time.Second)
-	if b := p.bodies[0]; b.Left != time.Second || b.Deadline != 0 || b.Resent {
+func TestCommandCarriesItsDeadline(t *testing.T) {
+	p := newHarness(t, "k0")
+	p.reply(5*ms, "k0", "prove", received)
+	p.submit(10*ms, 1, ledger.KindAcceptJob, time.Second)
+	if b := p.bodies[0]; b.Timeout != time.Second || b.Deadline != 0 || b.Retry {
 		t.Errorf("before a proof: %+v", b)
 	}
-	proof := wire.CommandBackBody{Answer: ledger.Answer{Code: code.OK, Time: time.Hour}}
-	p.back(40*ms, "k0", "prove", proof)
-	p.ask(50*ms, 2, ledger.KindAccept, time.Second)
+	proof := wire.CommandReply{Result: ledger.Result{Code: code.OK, Time: time.Hour}}
+	p.reply(40*ms, "k0", "prove", proof)
+	p.submit(50*ms, 2, ledger.KindAcceptJob, time.Second)
 	b := p.bodies[0]
 	least, most := time.Hour+time.Second+10*ms, time.Hour+time.Second+60*ms
-	if b.Left != time.Second || b.Deadline < least || b.Deadline > most {
-		t.Errorf("after a proof: left %s, deadline %s", b.Left, b.Deadline)
+	if b.Timeout != time.Second || b.Deadline < least || b.Deadline > most {
+		t.Errorf("after a proof: left %s, deadline %s", b.Timeout, b.Deadline)
 	}
 }
 
 // BenchmarkAnswer is a call that is taken and answered while 1,000 others are open.
 func BenchmarkAnswer(b *testing.B) {
-	r := New(Env{Address: "door", Keepers: []string{"k0"}, First: 1})
+	c := New(Config{Address: "door", Replicas: []string{"k0"}, FirstCommandID: 1})
 	now := time.Duration(0)
-	back := func(id uint64, body wire.CommandBackBody) {
+	back := func(id uint64, body wire.CommandReply) {
 		body.ID = id
-		line := machine.Line{Wire: 1, Kind: wire.CommandBack, From: "k0", Body: machine.MustMarshal(body)}
-		r.Step(now, machine.Input{Line: line})
+		line := machine.Message{Version: 1, Kind: wire.KindCommandReply, From: "k0", Body: machine.MustMarshal(body)}
+		c.Step(now, machine.Input{Message: line})
 	}
 	ask := func(key uint64) {
-		command := ledger.Command{Kind: ledger.KindRead}
-		r.Step(now, machine.Input{Ask: machine.Ask{Key: key, Kind: AskCommand, Value: command, Wait: time.Hour}})
+		command := ledger.Command{Kind: ledger.KindReadJob}
+		c.Step(now, machine.Input{Request: machine.Request{ID: key, Kind: RequestCommand, Decoded: command, Wait: time.Hour}})
 	}
 	back(0, received)
 	for key := uint64(1); key <= 1000; key++ {
@@ -395,6 +395,6 @@
 	for b.Loop() {
 		now += time.Microsecond
 		ask(5000)
-		back(r.next, good)
+		back(c.lastCommandID, success)
 	}
 }
