--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -12,214 +12,214 @@
 )
 
 const (
-	readyFor  = 1500 * time.Millisecond
-	lostAfter = 4 * time.Second
+	readyTTL      = 1500 * time.Millisecond
+	leaderTimeout = 4 * time.Second
 	// leaderWait is how long a command that was never sent waits for a primary.
-	leaderWait = 1200 * time.Millisecond
-	retryAfter = time.Second
-	tableMax   = 10000
+	maxUnsentWait = 1200 * time.Millisecond
+	retryAfter    = time.Second
+	maxPending    = 10000
 )
 
 // Env is a relay's place: its own line address, the keepers to begin from, and
 // the first command number, which should differ between two runs of one process.
-type Env struct {
-	Address string
-	Keepers []string
-	First   uint64
+type Config struct {
+	Address        string
+	Replicas       []string
+	FirstCommandID uint64
 }
 
 // Relay carries commands to the primary that it believes in. It keeps nothing
 // of the ledger: what it says was said by a proven primary, or is that there
 // was no word of one.
-type Relay struct {
-	env    Env
-	route  route
-	proofs proofs
-	chance *rand.Rand
-	next   uint64
+type Client struct {
+	config        Config
+	leader        leaderTracker
+	probes        leadershipProbes
+	rng           *rand.Rand
+	lastCommandID uint64
 	// table holds the open requests in the order of their numbers.
-	table []*request
+	pending []*pendingCommand
 	// order numbers what is sent; the primary has answered what was sent as passed.
-	order    uint64
-	passed   uint64
-	pace     pace
-	begun    bool
-	provenAt time.Duration
-	proven   bool
-	wakeAt   time.Duration
-	stopping bool
+	lastSend      uint64
+	answeredSend  uint64
+	latency       latencyEstimate
+	started       bool
+	confirmedAt   time.Duration
+	everConfirmed bool
+	nextTimer     time.Duration
+	stopping      bool
 }
 
 // New gives a relay; its jitter is drawn from Env.First.
-func New(env Env) *Relay {
-	r := &Relay{env: env, next: env.First, chance: rand.New(rand.NewPCG(env.First, jitterStream))}
-	r.route.turn = int(env.First % uint64(max(1, len(env.Keepers))))
-	return r
+func New(config Config) *Client {
+	c := &Client{config: config, lastCommandID: config.FirstCommandID, rng: rand.New(rand.NewPCG(config.FirstCommandID, jitterStream))}
+	c.leader.rotation = int(config.FirstCommandID % uint64(max(1, len(config.Replicas))))
+	return c
 }
 
-func (r *Relay) Wakeup() time.Duration { return r.wakeAt }
+func (c *Client) NextTimer() time.Duration { return c.nextTimer }
 
 // Ready says whether a primary has proved itself a moment ago.
-func (r *Relay) Ready(now time.Duration) bool {
-	return r.proven && now-r.provenAt <= readyFor && !r.stopping
+func (c *Client) Ready(now time.Duration) bool {
+	return c.everConfirmed && now-c.confirmedAt <= readyTTL && !c.stopping
 }
 
 // Begin names other keepers to begin from.
-func (r *Relay) Begin(keepers []string) { r.env.Keepers = keepers }
+func (c *Client) SetBootstrapReplicas(replicas []string) { c.config.Replicas = replicas }
 
 // Open is how many requests are without an answer.
-func (r *Relay) Open() int { return len(r.table) }
+func (c *Client) PendingCount() int { return len(c.pending) }
 
-func (r *Relay) Step(now time.Duration, in machine.Input) machine.Output {
+func (c *Client) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	if !r.begun {
-		r.begun, r.provenAt, r.proofs.dueAt = true, now, now
-		r.rotate(now)
+	if !c.started {
+		c.started, c.confirmedAt, c.probes.nextProbeAt = true, now, now
+		c.tryNextReplica(now)
 	}
 	switch {
 	case in.Stop:
-		r.stopping = true
-	case in.Ask.Key > 0:
-		r.take(now, in.Ask, &out)
-	case in.Line.Kind == wire.CommandBack:
-		var b wire.CommandBackBody
-		if err := machine.Unmarshal(in.Line.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Line.Kind, "from", in.Line.From, "why", err.Error())
+		c.stopping = true
+	case in.Request.ID > 0:
+		c.enqueue(now, in.Request, &out)
+	case in.Message.Kind == wire.KindCommandReply:
+		var b wire.CommandReply
+		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
+			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
 		} else {
-			r.back(now, in.Line.From, b, &out)
+			c.handleReply(now, in.Message.From, b, &out)
 		}
-	case in.Line.Kind != "":
-		out.Log("line_unknown", "kind", in.Line.Kind, "from", in.Line.From)
+	case in.Message.Kind != "":
+		out.Log("line_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 	}
-	r.follow(now, &out)
-	r.expire(now, &out)
-	r.transmit(now, &out)
-	r.prove(now, &out)
-	r.schedule(now)
-	out.Stopped = r.stopping && len(r.table) == 0
+	c.checkLeader(now, &out)
+	c.expirePending(now, &out)
+	c.sendDue(now, &out)
+	c.probeLeader(now, &out)
+	c.scheduleTimer(now)
+	out.Stopped = c.stopping && len(c.pending) == 0
 	return out
 }
 
-func (r *Relay) lost(now time.Duration) bool { return now-r.provenAt > lostAfter }
+func (c *Client) leaderLost(now time.Duration) bool { return now-c.confirmedAt > leaderTimeout }
 
-func (r *Relay) take(now time.Duration, ask machine.Ask, out *machine.Output) {
-	command, ok := ask.Value.(ledger.Command)
+func (c *Client) enqueue(now time.Duration, request machine.Request, out *machine.Output) {
+	command, ok := request.Decoded.(ledger.Command)
 	refuse := func(c code.Code, why string) {
-		out.Answer(ask.Key, ledger.Answer{Code: c, Why: why, RetryAfter: retryAfter})
+		out.Respond(request.ID, ledger.Result{Code: c, Reason: why, RetryAfter: retryAfter})
 	}
 	switch {
-	case ask.Kind != AskCommand || !ok:
+	case request.Kind != RequestCommand || !ok:
 		refuse(code.Internal, "a relay takes ledger commands only")
-	case r.stopping:
-		refuse(code.Stopping, "this process is going down")
-	case len(r.table) >= tableMax:
-		refuse(code.InboxFull, "this process has too many requests open")
-	case r.lost(now):
-		refuse(code.NoAuthority, "no keeper has been heard of for a while")
-	case ask.Wait <= 0:
-		refuse(code.NoAuthority, "no time is left to ask a keeper")
-	case r.queueTime() > ask.Wait:
-		refuse(code.InboxFull, "what waits for the primary takes longer than this request has time")
+	case c.stopping:
+		refuse(code.ShuttingDown, "this process is going down")
+	case len(c.pending) >= maxPending:
+		refuse(code.QueueFull, "this process has too many requests open")
+	case c.leaderLost(now):
+		refuse(code.ReplicasUnavailable, "no keeper has been heard of for a while")
+	case request.Wait <= 0:
+		refuse(code.ReplicasUnavailable, "no time is left to ask a keeper")
+	case c.expectedWait() > request.Wait:
+		refuse(code.QueueFull, "what waits for the primary takes longer than this request has time")
 	default:
-		r.next++
-		r.table = append(r.table, &request{
-			id: r.next, key: ask.Key, command: command, takenAt: now, cutoff: now + ask.Wait, dueAt: now,
+		c.lastCommandID++
+		c.pending = append(c.pending, &pendingCommand{
+			id: c.lastCommandID, key: request.ID, command: command, enqueuedAt: now, deadline: now + request.Wait, sendAt: now,
 		})
 	}
 }
 
 // back takes a keeper's word. Any word from the keeper believed in is a sign of
 // life; an answer of a primary is proof, since it answers only once it is proven.
-func (r *Relay) back(now time.Duration, from string, b wire.CommandBackBody, out *machine.Output) {
-	r.route.learn(b.Keepers)
-	if from == r.route.primary {
-		r.route.signAt, r.route.silent = now, 0
+func (c *Client) handleReply(now time.Duration, from string, reply wire.CommandReply, out *machine.Output) {
+	c.leader.setReplicas(reply.Replicas)
+	if from == c.leader.primary {
+		c.leader.lastHeardAt, c.leader.silentReplicas = now, 0
 	}
 	switch {
-	case b.Received:
-		r.confirm(now, from)
+	case reply.Received:
+		c.confirmLeader(now, from)
 		return
-	case b.Answer.Code == code.NotPrimary || b.Answer.Code == code.Stopping:
-		r.bounced(now, from, b.Primary)
+	case reply.Result.Code == code.NotPrimary || reply.Result.Code == code.ShuttingDown:
+		c.handleRejection(now, from, reply.Primary)
 		return
-	case !slices.Contains(noProof, b.Answer.Code):
-		r.proved(now, from)
+	case !slices.Contains(unconfirmedCodes, reply.Result.Code):
+		c.leadershipConfirmed(now, from)
 	}
-	if r.proofs.answered(b) && from == r.route.primary {
-		r.pass(r.proofs.last.order)
+	if c.probes.handleReply(reply) && from == c.leader.primary {
+		c.noteAnswered(c.probes.last.sendIndex)
 		return
 	}
-	at, ok := r.find(b.ID)
+	index, ok := c.find(reply.ID)
 	if !ok {
 		return
 	}
-	q := r.table[at]
-	r.table = slices.Delete(r.table, at, at+1)
-	if from == r.route.primary && q.sending && !slices.Contains(unclear, b.Answer.Code) {
-		r.pass(q.order)
-		r.pace.note(now - q.sentAt)
+	command := c.pending[index]
+	c.pending = slices.Delete(c.pending, index, index+1)
+	if from == c.leader.primary && command.inFlight && !slices.Contains(inconclusiveCodes, reply.Result.Code) {
+		c.noteAnswered(command.sendIndex)
+		c.latency.observe(now - command.sentAt)
 	}
-	if q.sent > 1 && !ledger.Reads(q.command.Kind) && slices.Contains(unclearAgain, b.Answer.Code) {
+	if command.sendCount > 1 && !ledger.IsReadOnly(command.command.Kind) && slices.Contains(inconclusiveRetryCodes, reply.Result.Code) {
 		// An earlier copy may have been taken, so this is no clear no.
-		b.Answer = unsure()
+		reply.Result = unknownOutcome()
 	}
-	out.Answer(q.key, b.Answer)
+	out.Respond(command.key, reply.Result)
 }
 
 // noProof are the answers that a keeper gives without having proved that it leads.
-var noProof = []code.Code{code.NoAuthority, code.Internal}
+var unconfirmedCodes = []code.Code{code.ReplicasUnavailable, code.Internal}
 
 // unclear are the answers that say nothing of an earlier copy of the command. They
 // are given out of the order in which commands arrive.
-var unclear = []code.Code{code.InboxFull, code.NoAuthority, code.Internal}
+var inconclusiveCodes = []code.Code{code.QueueFull, code.ReplicasUnavailable, code.Internal}
 
 // unclearAgain are the answers to another copy of a command that say nothing of the
 // earlier one. Whether there is an entry is looked at before what was accepted.
-var unclearAgain = append([]code.Code{code.NoEntry}, unclear...)
+var inconclusiveRetryCodes = append([]code.Code{code.NoRoute}, inconclusiveCodes...)
 
-func unsure() ledger.Answer {
-	return ledger.Answer{
-		Code: code.NoAnswer, Why: "no keeper answered in time; the request may still take effect", RetryAfter: retryAfter,
+func unknownOutcome() ledger.Result {
+	return ledger.Result{
+		Code: code.NoResponse, Reason: "no keeper answered in time; the request may still take effect", RetryAfter: retryAfter,
 	}
 }
 
 // proved takes an answer that only a primary gives.
-func (r *Relay) proved(now time.Duration, from string) {
-	if from != r.route.primary && now-r.provenAt >= proveMost {
-		r.move(now, from)
+func (c *Client) leadershipConfirmed(now time.Duration, from string) {
+	if from != c.leader.primary && now-c.confirmedAt >= maxProbeInterval {
+		c.switchTo(now, from)
 	}
-	r.confirm(now, from)
-	r.proven, r.provenAt = true, now
-	r.proofs.postpone(now + r.jitter(proveLeast, proveMost))
-	r.route.tried, r.route.hops = 0, 0
+	c.confirmLeader(now, from)
+	c.everConfirmed, c.confirmedAt = true, now
+	c.probes.postpone(now + c.jitter(minProbeInterval, maxProbeInterval))
+	c.leader.triedReplicas, c.leader.redirects = 0, 0
 }
 
 // pass notes that the primary has answered what was sent with an order number.
-func (r *Relay) pass(order uint64) { r.passed = max(r.passed, order) }
+func (c *Client) noteAnswered(order uint64) { c.answeredSend = max(c.answeredSend, order) }
 
 // schedule says when the relay is to be stepped next.
-func (r *Relay) schedule(now time.Duration) {
-	r.wakeAt = r.route.dueAt()
-	if r.route.primary != "" {
-		r.wakeAt = min(r.wakeAt, r.proofs.dueAt)
+func (c *Client) scheduleTimer(now time.Duration) {
+	c.nextTimer = c.leader.nextSwitch()
+	if c.leader.primary != "" {
+		c.nextTimer = min(c.nextTimer, c.probes.nextProbeAt)
 	}
-	if len(r.table) > 0 {
-		r.wakeAt = min(r.wakeAt, r.provenAt+lostAfter+time.Millisecond)
+	if len(c.pending) > 0 {
+		c.nextTimer = min(c.nextTimer, c.confirmedAt+leaderTimeout+time.Millisecond)
 	}
-	full := r.sending() >= window
-	for _, q := range r.table {
-		r.wakeAt = min(r.wakeAt, r.expiry(q))
+	full := c.inFlightCount() >= maxInFlight
+	for _, command := range c.pending {
+		c.nextTimer = min(c.nextTimer, c.expiresAt(command))
 		switch {
-		case !r.route.confirmed:
-		case q.sending && r.isLost(q):
-			r.wakeAt = min(r.wakeAt, q.dueAt)
-		case !q.sending && !full:
-			r.wakeAt = min(r.wakeAt, max(q.dueAt, now+time.Millisecond))
+		case !c.leader.confirmed:
+		case command.inFlight && c.isLost(command):
+			c.nextTimer = min(c.nextTimer, command.sendAt)
+		case !command.inFlight && !full:
+			c.nextTimer = min(c.nextTimer, max(command.sendAt, now+time.Millisecond))
 		}
 	}
 }
 
 // jitter gives a span between two others.
-func (r *Relay) jitter(least, most time.Duration) time.Duration {
-	return least + time.Duration(r.chance.Int64N(int64(most-least)+1))
+func (c *Client) jitter(least, most time.Duration) time.Duration {
+	return least + time.Duration(c.rng.Int64N(int64(most-least)+1))
 }
--- a/core/relay/route.go
+++ b/core/relay/route.go
@@ -10,120 +10,120 @@
 const (
 	// quietFor is how long a keeper may be silent before it is left; the spans grow
 	// once all keepers were tried.
-	quietFor   = 800 * time.Millisecond
-	quietMost  = 1600 * time.Millisecond
-	quietExtra = 100 * time.Millisecond
+	minSilenceTimeout    = 800 * time.Millisecond
+	maxSilenceTimeout    = 1600 * time.Millisecond
+	silenceTimeoutJitter = 100 * time.Millisecond
 	// bounceLeast and bounceMost bound the pause after a keeper that names no other. It
 	// doubles after every bounceTries pauses in a row, bounceDoubles times.
-	bounceLeast   = 40 * time.Millisecond
-	bounceMost    = 80 * time.Millisecond
-	bounceTries   = 2
-	bounceDoubles = 2
+	minBackoff          = 40 * time.Millisecond
+	maxBackoff          = 80 * time.Millisecond
+	backoffsPerDoubling = 2
+	maxBackoffDoublings = 2
 	// hopsAtOnce is how many hints are followed one after the other without a pause.
-	hopsAtOnce = 2
+	maxImmediateRedirects = 2
 	// jitterStream keeps a relay's jitter apart from whatever else is drawn from its seed.
 	jitterStream = 0x7265_6c61_79
 )
 
 // route says which keeper is believed to be the primary, and what is known of the others.
-type route struct {
-	keepers []string
-	primary string
+type leaderTracker struct {
+	replicas []string
+	primary  string
 	// confirmed says that the primary has shown that it leads; commands go to no other.
 	confirmed bool
 	// left is the keeper last left for its silence; hints to it count for nothing until then.
-	left      string
-	leftUntil time.Duration
-	turn      int
-	tried     int
-	hops      int
-	signAt    time.Duration
-	quiet     time.Duration
+	suspected      string
+	suspectedUntil time.Duration
+	rotation       int
+	triedReplicas  int
+	redirects      int
+	lastHeardAt    time.Duration
+	silenceTimeout time.Duration
 	// silent counts the keepers that were left for their silence since one was heard.
-	silent int
-	moveAt time.Duration
+	silentReplicas int
+	switchAt       time.Duration
 	// pauses counts those after bounces since a keeper has shown that it leads.
-	pauses int
+	backoffs int
 }
 
 // learn takes the list of keepers that an answer names.
-func (t *route) learn(keepers []string) {
-	if len(keepers) > 0 && !slices.Equal(t.keepers, keepers) {
-		t.keepers, t.tried = slices.Clone(keepers), 0
+func (t *leaderTracker) setReplicas(replicas []string) {
+	if len(replicas) > 0 && !slices.Equal(t.replicas, replicas) {
+		t.replicas, t.triedReplicas = slices.Clone(replicas), 0
 	}
 }
 
 // dueAt is when the next keeper is to be tried.
-func (t *route) dueAt() time.Duration {
-	if t.moveAt > 0 {
-		return min(t.moveAt, t.signAt+t.quiet)
+func (t *leaderTracker) nextSwitch() time.Duration {
+	if t.switchAt > 0 {
+		return min(t.switchAt, t.lastHeardAt+t.silenceTimeout)
 	}
-	return t.signAt + t.quiet
+	return t.lastHeardAt + t.silenceTimeout
 }
 
 // bounced follows a keeper's hint, at once unless hints go round in a circle.
-func (r *Relay) bounced(now time.Duration, from, hint string) {
-	t := &r.route
-	if from != t.primary || t.moveAt > 0 {
+func (c *Client) handleRejection(now time.Duration, from, hint string) {
+	t := &c.leader
+	if from != t.primary || t.switchAt > 0 {
 		return
 	}
 	t.confirmed = false
-	if hint == "" || hint == from || hint == t.left && now < t.leftUntil {
-		r.pause(now)
+	if hint == "" || hint == from || hint == t.suspected && now < t.suspectedUntil {
+		c.backOff(now)
 		return
 	}
-	if t.hops++; t.hops > hopsAtOnce {
-		t.hops = 0
-		r.pause(now)
+	if t.redirects++; t.redirects > maxImmediateRedirects {
+		t.redirects = 0
+		c.backOff(now)
 		return
 	}
-	r.move(now, hint)
+	c.switchTo(now, hint)
 }
 
 // pause has the relay go on to another keeper in a while.
-func (r *Relay) pause(now time.Duration) {
-	double := min(r.route.pauses/bounceTries, bounceDoubles)
-	r.route.moveAt = now + r.jitter(bounceLeast<<double, bounceMost<<double)
-	r.route.pauses++
+func (c *Client) backOff(now time.Duration) {
+	double := min(c.leader.backoffs/backoffsPerDoubling, maxBackoffDoublings)
+	c.leader.switchAt = now + c.jitter(minBackoff<<double, maxBackoff<<double)
+	c.leader.backoffs++
 }
 
 // move believes in another keeper. It is asked for a proof first; what is open
 // follows once it has shown that it leads.
-func (r *Relay) move(now time.Duration, to string) {
-	t := &r.route
-	t.primary, t.confirmed, t.moveAt = to, false, 0
-	t.signAt, t.quiet = now, r.quietSpan()
-	r.proofs.reset(now)
-	r.passed = r.order
-	for _, q := range r.table {
-		q.sending = false
+func (c *Client) switchTo(now time.Duration, to string) {
+	t := &c.leader
+	t.primary, t.confirmed, t.switchAt = to, false, 0
+	t.lastHeardAt, t.silenceTimeout = now, c.nextSilenceTimeout()
+	c.probes.reset(now)
+	c.answeredSend = c.lastSend
+	for _, command := range c.pending {
+		command.inFlight = false
 	}
 }
 
 // quietSpan is how long the next keeper may be silent.
-func (r *Relay) quietSpan() time.Duration {
-	rounds := r.route.silent / max(1, len(r.route.list(r.env.Keepers)))
-	return min(quietFor<<min(rounds, 4), quietMost) + r.jitter(0, quietExtra)
+func (c *Client) nextSilenceTimeout() time.Duration {
+	rounds := c.leader.silentReplicas / max(1, len(c.leader.candidates(c.config.Replicas)))
+	return min(minSilenceTimeout<<min(rounds, 4), maxSilenceTimeout) + c.jitter(0, silenceTimeoutJitter)
 }
 
 // confirm notes that a keeper leads. What is open is sent to it, spread over a
 // while, the commands with the least time left first.
-func (r *Relay) confirm(now time.Duration, from string) {
-	if from != r.route.primary || r.route.confirmed {
+func (c *Client) confirmLeader(now time.Duration, from string) {
+	if from != c.leader.primary || c.leader.confirmed {
 		return
 	}
-	r.route.confirmed, r.route.moveAt, r.route.pauses = true, 0, 0
-	r.spread(now)
+	c.leader.confirmed, c.leader.switchAt, c.leader.backoffs = true, 0, 0
+	c.spreadSends(now)
 }
 
 // list gives the keepers of the view, and once all of them were tried, those to
 // begin from as well.
-func (t *route) list(begin []string) []string {
-	list := t.keepers
-	if t.tried < len(list) {
+func (t *leaderTracker) candidates(bootstrap []string) []string {
+	list := t.replicas
+	if t.triedReplicas < len(list) {
 		return list
 	}
-	for _, k := range begin {
+	for _, k := range bootstrap {
 		if !slices.Contains(list, k) {
 			list = append(list[:len(list):len(list)], k)
 		}
@@ -132,34 +132,34 @@
 }
 
 // rotate goes on to the next keeper of the list.
-func (r *Relay) rotate(now time.Duration) {
-	t := &r.route
-	list := t.list(r.env.Keepers)
-	t.moveAt = 0
-	t.tried++
+func (c *Client) tryNextReplica(now time.Duration) {
+	t := &c.leader
+	list := t.candidates(c.config.Replicas)
+	t.switchAt = 0
+	t.triedReplicas++
 	for range list {
-		t.turn++
-		if to := list[t.turn%len(list)]; to != t.primary && (to != t.left || now >= t.leftUntil) {
-			r.move(now, to)
+		t.rotation++
+		if to := list[t.rotation%len(list)]; to != t.primary && (to != t.suspected || now >= t.suspectedUntil) {
+			c.switchTo(now, to)
 			return
 		}
 	}
-	t.signAt, t.quiet = now, r.quietSpan()
-	r.proofs.dueAt = max(r.proofs.dueAt, now+bounceMost)
+	t.lastHeardAt, t.silenceTimeout = now, c.nextSilenceTimeout()
+	c.probes.nextProbeAt = max(c.probes.nextProbeAt, now+maxBackoff)
 }
 
 // follow turns to another keeper where the one believed in is silent or does not lead.
-func (r *Relay) follow(now time.Duration, out *machine.Output) {
-	t := &r.route
+func (c *Client) checkLeader(now time.Duration, out *machine.Output) {
+	t := &c.leader
 	switch {
 	case t.primary == "":
-		r.rotate(now)
-	case t.moveAt > 0 && now >= t.moveAt:
-		r.rotate(now)
-	case now-t.signAt >= t.quiet:
-		out.Log("keeper_silent", "address", t.primary, "open", len(r.table))
-		t.silent++
-		t.left, t.leftUntil = t.primary, now+quietFor
-		r.rotate(now)
+		c.tryNextReplica(now)
+	case t.switchAt > 0 && now >= t.switchAt:
+		c.tryNextReplica(now)
+	case now-t.lastHeardAt >= t.silenceTimeout:
+		out.Log("keeper_silent", "address", t.primary, "open", len(c.pending))
+		t.silentReplicas++
+		t.suspected, t.suspectedUntil = t.primary, now+minSilenceTimeout
+		c.tryNextReplica(now)
 	}
 }
--- a/core/scheduler/news.go
+++ b/core/scheduler/news.go
@@ -12,20 +12,20 @@
 )
 
 // noteChanges marks the workers that the ledger's changes concern.
-func (s *Scheduler) noteChanges(changes []ledger.Changed) {
-	if !s.copy.Own() {
+func (s *Scheduler) markChangedWorkers(changes []ledger.Change) {
+	if !s.access.IsLocal() {
 		return
 	}
-	maps.Copy(s.news, s.dispatch.TakeFresh())
+	maps.Copy(s.changedWorkers, s.dispatcher.TakeChangedWorkers())
 	for _, c := range changes {
 		switch {
 		case c.All:
-			s.wholeAt = 0
+			s.nextFullScan = 0
 		case c.Worker != "":
-			s.news[c.Worker] = true
+			s.changedWorkers[c.Worker] = true
 		case c.Task >= 0:
-			if job, ok := s.copy.View().Job(c.Job); ok && job.Tasks[c.Task].Turn.Held() {
-				s.news[job.Tasks[c.Task].Turn.Worker] = true
+			if job, ok := s.access.State().Job(c.Job); ok && job.Tasks[c.Task].Lease.Held() {
+				s.changedWorkers[job.Tasks[c.Task].Lease.Worker] = true
 			}
 		}
 	}
@@ -33,13 +33,13 @@
 
 // dueWorkers gives, in order, the workers that the pass looks at, of those that
 // have a report here.
-func (s *Scheduler) dueWorkers(whole bool) []string {
+func (s *Scheduler) workersToScan(whole bool) []string {
 	if whole {
-		return slices.Sorted(maps.Keys(s.records))
+		return slices.Sorted(maps.Keys(s.heartbeats))
 	}
-	out := make([]string, 0, len(s.news))
-	for worker := range s.news {
-		if _, waits := s.records[worker]; waits {
+	out := make([]string, 0, len(s.changedWorkers))
+	for worker := range s.changedWorkers {
+		if _, waits := s.heartbeats[worker]; waits {
 			out = append(out, worker)
 		}
 	}
@@ -48,9 +48,9 @@
 }
 
 // pullLater leaves what is left of a pull to the next pass.
-func (s *Scheduler) pullLater(now time.Duration, able []string) {
+func (s *Scheduler) deferGrants(now time.Duration, able []string) {
 	for _, worker := range able {
-		s.news[worker] = true
+		s.changedWorkers[worker] = true
 	}
-	s.passAt = min(s.passAt, now+passGap)
+	s.nextScan = min(s.nextScan, now+minScanGap)
 }
--- a/core/scheduler/pace.go
+++ b/core/scheduler/pace.go
@@ -12,80 +12,80 @@
 
 const (
 	// admitEach is a tick, in which admitMost reports with changes are taken.
-	admitEach = 20 * time.Millisecond
-	admitMost = 32
+	admissionTick     = 20 * time.Millisecond
+	admissionsPerTick = 32
 	// paceFree is the delay of a command at which agents report as they like, and
 	// paceMost the longest time between two reports that they are asked for.
-	paceFree = 30 * time.Millisecond
-	paceMost = 200 * time.Millisecond
+	unpacedLatency = 30 * time.Millisecond
+	maxPace        = 200 * time.Millisecond
 )
 
 // admission counts the reports with changes of a tick. What is asked to come in a
 // later tick has a place there, so that it is put off only once.
 type admission struct {
-	endsAt time.Duration
-	taken  int
-	later  int
+	tickEnd  time.Duration
+	admitted int
+	deferred int
 }
 
 // admit takes a report, or says after which time it is to come again.
 func (a *admission) admit(now time.Duration) (after time.Duration, taken bool) {
-	if now >= a.endsAt {
+	if now >= a.tickEnd {
 		a.nextTick(now)
 	}
-	if a.taken < admitMost {
-		a.taken++
+	if a.admitted < admissionsPerTick {
+		a.admitted++
 		return 0, true
 	}
-	a.later++
-	ticks := time.Duration((a.later - 1) / admitMost)
-	return a.endsAt - now + ticks*admitEach, false
+	a.deferred++
+	ticks := time.Duration((a.deferred - 1) / admissionsPerTick)
+	return a.tickEnd - now + ticks*admissionTick, false
 }
 
 func (a *admission) nextTick(now time.Duration) {
-	passed := 1 + int((now-a.endsAt)/admitEach)
-	a.later = max(0, a.later-passed*admitMost)
-	a.endsAt, a.taken = now+admitEach, 0
+	passed := 1 + int((now-a.tickEnd)/admissionTick)
+	a.deferred = max(0, a.deferred-passed*admissionsPerTick)
+	a.tickEnd, a.admitted = now+admissionTick, 0
 }
 
 // putOff tells an agent when to come again. Its worker counts as heard.
-func (s *Scheduler) putOff(r record, after time.Duration) ledger.Answer {
-	a := ledger.Answer{Code: code.InboxFull, Why: "other reports are taken first", RetryAfter: after}
-	a.Orders.Lease = s.leaseLeft(r)
+func (s *Scheduler) deferral(r pendingHeartbeat, after time.Duration) ledger.Result {
+	a := ledger.Result{Code: code.QueueFull, Reason: "other reports are taken first", RetryAfter: after}
+	a.Heartbeat.LeaseDuration = s.leaseLeft(r)
 	return a
 }
 
 // pace is how long an agent shall wait between two reports, 0 as it likes: about
 // as long as the last command took, or the oldest that is under way takes already.
-func (s *Scheduler) pace(now time.Duration) time.Duration {
-	delay := s.commandTook
-	if s.oldest > 0 {
-		delay = max(delay, now-s.oldest)
+func (s *Scheduler) reportInterval(now time.Duration) time.Duration {
+	delay := s.lastCommandLatency
+	if s.oldestSentAt > 0 {
+		delay = max(delay, now-s.oldestSentAt)
 	}
-	if !s.copy.Own() || delay <= paceFree {
+	if !s.access.IsLocal() || delay <= unpacedLatency {
 		return 0
 	}
-	return min(delay, paceMost)
+	return min(delay, maxPace)
 }
 
 // sent notes when a report's command went out, and ended what it took.
-func (s *Scheduler) sent(now time.Duration, id uint64) {
-	if s.sentAt[id] = now; s.oldest == 0 {
-		s.oldest = now
+func (s *Scheduler) commandSent(now time.Duration, id uint64) {
+	if s.sentAt[id] = now; s.oldestSentAt == 0 {
+		s.oldestSentAt = now
 	}
 }
 
-func (s *Scheduler) ended(now time.Duration, id uint64) {
+func (s *Scheduler) commandEnded(now time.Duration, id uint64) {
 	at, known := s.sentAt[id]
 	if !known {
 		return
 	}
-	s.commandTook = now - at
+	s.lastCommandLatency = now - at
 	delete(s.sentAt, id)
-	s.oldest = 0
+	s.oldestSentAt = 0
 	for _, other := range s.sentAt {
-		if s.oldest == 0 || other < s.oldest {
-			s.oldest = other
+		if s.oldestSentAt == 0 || other < s.oldestSentAt {
+			s.oldestSentAt = other
 		}
 	}
 }
--- a/core/scheduler/pace_test.go
+++ b/core/scheduler/pace_test.go
@@ -10,13 +10,15 @@
 const ms = time.Millisecond
 
 // primary is an authority that says it is the primary's own ledger.
-type primary struct{ *follow.Copy }
+type localFeed struct{ *follow.ReadReplica }
 
-func (primary) Own() bool { return true }
+func (localFeed) IsLocal() bool { return true }
 
-func newPrimary() *Scheduler { return NewWith(Env{Site: "a"}, primary{follow.New("here:1", "a", 1)}) }
+func newPrimaryScheduler() *Scheduler {
+	return NewWith(Config{Zone: "a"}, localFeed{follow.NewReadReplica("here:1", "a", 1)})
+}
 
-func TestPaceFollowsTheDelayOfCommands(t *testing.T) {
+func TestReportIntervalFollowsCommandLatency(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		took time.Duration // by the last command
@@ -30,17 +32,17 @@
 		{"never over the most", 900 * ms, 900 * ms, 200 * ms},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			s := newPrimary()
+			s := newPrimaryScheduler()
 			now := time.Second
-			s.sent(now, 1)
+			s.commandSent(now, 1)
 			now += row.took
-			s.ended(now, 1)
+			s.commandEnded(now, 1)
 			if row.open > 0 {
-				s.sent(now, 2)
-				s.sent(now+row.open/2, 3)
+				s.commandSent(now, 2)
+				s.commandSent(now+row.open/2, 3)
 				now += row.open
 			}
-			if got := s.pace(now); got != row.want {
+			if got := s.reportInterval(now); got != row.want {
 				t.Errorf("got %s, want %s", got, row.want)
 			}
 		})
@@ -48,13 +50,13 @@
 }
 
 // TestAdmissionGivesEachAPlace asks 100 times in one tick, and again when told to.
-func TestAdmissionGivesEachAPlace(t *testing.T) {
+func TestAdmissionGivesEachHeartbeatATick(t *testing.T) {
 	var a admission
 	now := time.Second
 	later := map[time.Duration]int{}
 	for i := range 100 {
 		after, taken := a.admit(now)
-		if taken != (i < admitMost) || !taken && after <= 0 {
+		if taken != (i < admissionsPerTick) || !taken && after <= 0 {
 			t.Errorf("number %d: %s, %v", i, after, taken)
 		}
 		if !taken {
@@ -64,8 +66,8 @@
 	if len(later) != 3 {
 		t.Errorf("they are to come at %v", later)
 	}
-	for tick := now + admitEach; tick < now+4*admitEach; tick += admitEach {
-		if later[tick] > admitMost {
+	for tick := now + admissionTick; tick < now+4*admissionTick; tick += admissionTick {
+		if later[tick] > admissionsPerTick {
 			t.Errorf("%d are to come at %s", later[tick], tick)
 		}
 		for range later[tick] {
@@ -76,7 +78,7 @@
 	}
 }
 
-func TestRenewalsComeWellWithinTheLease(t *testing.T) {
+func TestRenewalIntervalIsWellWithinTheLease(t *testing.T) {
 	for _, row := range []struct{ lease, silent, want time.Duration }{
 		{6 * time.Second, 30 * time.Second, time.Second},
 		{6 * time.Second, 1500 * ms, 250 * ms},
@@ -84,7 +86,7 @@
 		{2 * time.Second, 1500 * ms, 250 * ms},
 		{100 * ms, 1500 * ms, 50 * ms},
 	} {
-		if got := renewEach(row.lease, row.silent); got != row.want {
+		if got := renewalInterval(row.lease, row.silent); got != row.want {
 			t.Errorf("lease %s, silent %s: %s, not %s", row.lease, row.silent, got, row.want)
 		}
 	}
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -20,162 +20,162 @@
 	"sorrelloom/core/wire"
 )
 
-type Env struct {
-	Address string
-	Site    string
-	First   uint64
-	Central bool
+type Config struct {
+	Address        string
+	Zone           string
+	FirstCommandID uint64
+	SingleQueue    bool
 }
 
 const (
-	helloEach   = 500 * time.Millisecond
-	commandWait = 2 * time.Second
-	passEach    = 50 * time.Millisecond
-	retellAfter = 500 * time.Millisecond
-	refusedFor  = 150 * time.Millisecond
-	pushEach    = 50 * time.Millisecond
+	registrationInterval = 500 * time.Millisecond
+	commandTimeout       = 2 * time.Second
+	fullScanInterval     = 50 * time.Millisecond
+	resendStopAfter      = 500 * time.Millisecond
+	rejectedBackoff      = 150 * time.Millisecond
+	preemptionInterval   = 50 * time.Millisecond
 	// passGap is the least time between two passes in the primary's own process.
-	passGap = 8 * time.Millisecond
+	minScanGap = 8 * time.Millisecond
 	// rebuildEach is the time between two slices of a rebuild.
-	rebuildEach = 2 * time.Millisecond
+	rebuildInterval = 2 * time.Millisecond
 	// askMost is how many turns one pass in the primary's own process asks for.
-	askMost = 64
+	maxGrantsPerScan = 64
 )
 
 // DutyOf names the duty that owns a site's inboxes.
-func DutyOf(site string) string { return "dispatch/" + site }
+func LeadershipOf(site string) string { return "dispatch/" + site }
 
 // record is one beat from its coming to its reply.
-type record struct {
-	id       uint64
-	from     string
-	beat     ledger.Beat
-	holdFor  time.Duration
-	until    time.Duration
-	command  uint64
-	recorded bool
-	orders   ledger.Orders
+type pendingHeartbeat struct {
+	requestID uint64
+	replyTo   string
+	heartbeat ledger.Heartbeat
+	holdFor   time.Duration
+	replyBy   time.Duration
+	commandID uint64
+	recorded  bool
+	orders    ledger.HeartbeatReply
 	// In the primary's own process: when the report came, by ledger time; whether
 	// the ledger has taken it; whether it is calm, needing no command; and whether
 	// it is to be answered as soon as its worker's lease is renewed.
-	heardAt time.Duration
-	applied bool
-	calm    bool
-	short   bool
+	receivedAt    time.Duration
+	applied       bool
+	unchanged     bool
+	awaitsRenewal bool
 }
 
-type proposal struct {
-	picks   []ledger.Pick
-	refs    []dispatch.Ref
-	rooms   []ledger.Room
-	class   [2]string
-	pushOut bool
-	refused bool
-	until   time.Duration
-	at      uint64
+type pendingProposal struct {
+	assignments []ledger.Assignment
+	tasks       []dispatch.TaskRef
+	resources   []ledger.Resources
+	class       [2]string
+	preemption  bool
+	rejected    bool
+	expiresAt   time.Duration
+	committedAt uint64
 }
 
 // Authority is the ledger that a scheduler reads and the way to ask it for
 // writes: a copy of it, or, in the primary's own process, the ledger itself. A
 // command to the latter is applied before Submit returns; only its answer, which
 // says that two disks have it, comes later.
-type Authority interface {
-	View() *ledger.Ledger
-	Own() bool
+type StateAccess interface {
+	State() *ledger.Store
+	IsLocal() bool
 	Fresh(now time.Duration) bool
 	// Proven says whether the primary's lead was confirmed a moment ago.
-	Proven(now time.Duration) bool
+	LeadershipConfirmed(now time.Duration) bool
 	// Time is ledger time.
 	Time(now time.Duration) time.Duration
 	Loaded() bool
 	Submit(now time.Duration, cmd ledger.Command, wait time.Duration, out *machine.Output) uint64
-	Line(now time.Duration, line machine.Line, out *machine.Output) ([]follow.Result, bool)
-	Wake(now time.Duration, out *machine.Output) []follow.Result
+	Receive(now time.Duration, line machine.Message, out *machine.Output) ([]follow.CommandResult, bool)
+	HandleTimers(now time.Duration, out *machine.Output) []follow.CommandResult
 	// Leave is said once, before the process goes.
-	Leave(out *machine.Output)
+	Stop(out *machine.Output)
 }
 
 // idle is what a worker found nothing for.
-type idle struct {
-	news  uint64
-	room  ledger.Room
-	until time.Duration
+type idleMark struct {
+	queueVersion uint64
+	free         ledger.Resources
+	until        time.Duration
 }
 
 type Scheduler struct {
-	env       Env
-	copy      Authority
-	dispatch  *dispatch.Dispatch
-	records   map[string]record
-	commands  map[uint64]string
-	proposals map[uint64]proposal
-	told      map[ledger.Attempt]time.Duration
-	overShare map[[2]string]uint64
-	helloAt   time.Duration
-	wanted    map[string]bool
-	idle      map[string]idle
-	pushAt    time.Duration
-	wakeAt    time.Duration
-	passAt    time.Duration
-	passed    time.Duration
+	config            Config
+	access            StateAccess
+	dispatcher        *dispatch.Dispatcher
+	heartbeats        map[string]pendingHeartbeat
+	heartbeatCommands map[uint64]string
+	proposals         map[uint64]pendingProposal
+	stopsSentAt       map[ledger.Attempt]time.Duration
+	overShareUntil    map[[2]string]uint64
+	nextRegistration  time.Duration
+	unledZones        map[string]bool
+	idle              map[string]idleMark
+	nextPreemption    time.Duration
+	nextTimer         time.Duration
+	nextScan          time.Duration
+	lastScan          time.Duration
 	// news are the workers that the next pass looks at; every worker is at wholeAt.
-	news      map[string]bool
-	wholeAt   time.Duration
-	heard     map[string]heard
-	promises  map[uint64][]promise
-	renewAt   time.Duration
-	renewedAt time.Duration
-	admission admission
+	changedWorkers map[string]bool
+	nextFullScan   time.Duration
+	lastHeartbeats map[string]lastHeartbeat
+	pendingLeases  map[uint64][]pendingLease
+	nextRenewal    time.Duration
+	lastRenewal    time.Duration
+	admission      admission
 	// sentAt has the reports' commands under way, of which the oldest went out at
 	// oldest; commandTook is what the last one took.
-	sentAt      map[uint64]time.Duration
-	oldest      time.Duration
-	commandTook time.Duration
-	stopping    bool
-	stopAt      time.Duration
+	sentAt             map[uint64]time.Duration
+	oldestSentAt       time.Duration
+	lastCommandLatency time.Duration
+	stopping           bool
+	stopDeadline       time.Duration
 }
 
-func New(env Env) *Scheduler {
-	return NewWith(env, follow.New(env.Address, env.Site, env.First))
+func New(env Config) *Scheduler {
+	return NewWith(env, follow.NewReadReplica(env.Address, env.Zone, env.FirstCommandID))
 }
 
 // NewWith is a scheduler that works on the given authority.
-func NewWith(env Env, authority Authority) *Scheduler {
-	s := &Scheduler{env: env, copy: authority, dispatch: dispatch.New(), records: map[string]record{}, commands: map[uint64]string{},
-		proposals: map[uint64]proposal{}, told: map[ledger.Attempt]time.Duration{}, overShare: map[[2]string]uint64{}, wanted: map[string]bool{}, idle: map[string]idle{}, news: map[string]bool{}}
-	if env.Central {
-		s.dispatch = dispatch.NewCentral()
+func NewWith(env Config, authority StateAccess) *Scheduler {
+	s := &Scheduler{config: env, access: authority, dispatcher: dispatch.New(), heartbeats: map[string]pendingHeartbeat{}, heartbeatCommands: map[uint64]string{},
+		proposals: map[uint64]pendingProposal{}, stopsSentAt: map[ledger.Attempt]time.Duration{}, overShareUntil: map[[2]string]uint64{}, unledZones: map[string]bool{}, idle: map[string]idleMark{}, changedWorkers: map[string]bool{}}
+	if env.SingleQueue {
+		s.dispatcher = dispatch.NewSingleQueue()
 	}
-	s.hearAnew()
+	s.resetHeartbeats()
 	return s
 }
 
-func (s *Scheduler) Wakeup() time.Duration        { return s.wakeAt }
-func (s *Scheduler) Counters() dispatch.Counters  { return s.dispatch.Counters }
-func (s *Scheduler) Ready(now time.Duration) bool { return s.copy.Fresh(now) }
-func (s *Scheduler) Sequence() uint64             { return s.copy.View().Plan().Sequence }
+func (s *Scheduler) NextTimer() time.Duration     { return s.nextTimer }
+func (s *Scheduler) Counters() dispatch.Counters  { return s.dispatcher.Counters }
+func (s *Scheduler) Ready(now time.Duration) bool { return s.access.Fresh(now) }
+func (s *Scheduler) ConfigVersion() uint64        { return s.access.State().Config().Version }
 
 // Duties gives the sites whose duty this process holds.
-func (s *Scheduler) Duties() []string {
+func (s *Scheduler) LedZones() []string {
 	var out []string
-	for _, w := range s.sites() {
-		if s.holds(w) {
+	for _, w := range s.zones() {
+		if s.leads(w) {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-func (s *Scheduler) holds(site string) bool {
-	return s.copy.View().Duty(DutyOf(site)).Holder == s.env.Address
+func (s *Scheduler) leads(site string) bool {
+	return s.access.State().Leadership(LeadershipOf(site)).Leader == s.config.Address
 }
 
-func (s *Scheduler) sites() []string {
-	set := map[string]bool{s.env.Site: true}
-	for _, w := range s.copy.View().Workers() {
-		set[w.Site] = true
+func (s *Scheduler) zones() []string {
+	set := map[string]bool{s.config.Zone: true}
+	for _, w := range s.access.State().Workers() {
+		set[w.Zone] = true
 	}
-	for site := range s.wanted {
+	for site := range s.unledZones {
 		set[site] = true
 	}
 	out := make([]string, 0, len(set))
@@ -188,48 +188,48 @@
 
 func (s *Scheduler) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	var results []follow.Result
+	var results []follow.CommandResult
 	switch {
 	case in.Stop:
-		s.stopping, s.stopAt = true, now+2*time.Second
-		s.copy.Leave(&out)
+		s.stopping, s.stopDeadline = true, now+2*time.Second
+		s.access.Stop(&out)
 		s.handOver(now, &out)
-	case in.Line.Kind == wire.Beat:
-		var b wire.BeatBody
-		if err := machine.Unmarshal(in.Line.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Line.Kind, "from", in.Line.From, "why", err.Error())
+	case in.Message.Kind == wire.KindHeartbeat:
+		var b wire.HeartbeatRequest
+		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
+			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
 			break
 		}
-		s.beat(now, in.Line.From, b, &out)
-	case in.Line.Kind != "":
+		s.handleHeartbeat(now, in.Message.From, b, &out)
+	case in.Message.Kind != "":
 		var handled bool
-		if results, handled = s.copy.Line(now, in.Line, &out); !handled {
-			out.Log("line_unknown", "kind", in.Line.Kind, "from", in.Line.From)
+		if results, handled = s.access.Receive(now, in.Message, &out); !handled {
+			out.Log("line_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 		}
 	}
-	results = append(results, s.copy.Wake(now, &out)...)
+	results = append(results, s.access.HandleTimers(now, &out)...)
 	for _, r := range results {
-		s.result(now, r, &out)
+		s.handleResult(now, r, &out)
 	}
-	changes := s.copy.View().TakeChanges()
-	s.dispatch.Update(s.copy.View(), changes)
-	if now >= s.helloAt {
-		s.hello(now, &out)
+	changes := s.access.State().TakeChanges()
+	s.dispatcher.Update(s.access.State(), changes)
+	if now >= s.nextRegistration {
+		s.register(now, &out)
 	}
-	s.renew(now, &out)
-	s.noteChanges(changes)
-	if len(changes)+len(results) > 0 || in.Line.Kind == wire.Beat {
-		s.passAt = min(s.passAt, max(now, s.passed+passGap))
+	s.renewLeases(now, &out)
+	s.markChangedWorkers(changes)
+	if len(changes)+len(results) > 0 || in.Message.Kind == wire.KindHeartbeat {
+		s.nextScan = min(s.nextScan, max(now, s.lastScan+minScanGap))
 	}
-	if now >= s.passAt || !s.copy.Own() {
-		s.passAt, s.passed = now+passEach, now
-		s.pass(now, &out)
+	if now >= s.nextScan || !s.access.IsLocal() {
+		s.nextScan, s.lastScan = now+fullScanInterval, now
+		s.scan(now, &out)
 	}
-	s.wakeAt = s.passAt
-	if s.dispatch.Rebuilding() {
-		s.wakeAt = min(s.wakeAt, now+rebuildEach)
+	s.nextTimer = s.nextScan
+	if s.dispatcher.Rebuilding() {
+		s.nextTimer = min(s.nextTimer, now+rebuildInterval)
 	}
-	if s.stopping && (now >= s.stopAt || len(s.Duties()) == 0) {
+	if s.stopping && (now >= s.stopDeadline || len(s.LedZones()) == 0) {
 		out.Stopped = true
 	}
 	return out
@@ -237,58 +237,58 @@
 
 // hello keeps the registration, votes on duties that nobody looks after, and
 // names the successor of a duty that another site's scheduler should hold.
-func (s *Scheduler) hello(now time.Duration, out *machine.Output) {
-	s.helloAt = now + helloEach
-	s.dispatch.Sweep(s.copy.View())
-	if s.stopping || !s.copy.Loaded() {
+func (s *Scheduler) register(now time.Duration, out *machine.Output) {
+	s.nextRegistration = now + registrationInterval
+	s.dispatcher.RequeueFromLostWorkers(s.access.State())
+	if s.stopping || !s.access.Loaded() {
 		return
 	}
-	if s.copy.Own() {
-		for _, site := range s.sites() {
-			s.take(now, site, out)
+	if s.access.IsLocal() {
+		for _, site := range s.zones() {
+			s.takeLeadership(now, site, out)
 		}
 		return
 	}
 	said := false
-	for _, site := range s.sites() {
-		l, name := s.copy.View(), DutyOf(site)
-		d, to := l.Duty(name), s.candidate(site)
-		hello := ledger.Hello{Daemon: s.env.Address, Site: s.env.Site, Want: name, For: to.ID, Epoch: d.Epoch}
-		silent := d.Holder == "" || l.At()-d.SeenAt > l.Plan().Limits.Silent.Duration/2
-		hello.Pass = d.Holder == s.env.Address && s.env.Site != site && to.Site == site
-		if to.ID != "" && (silent && d.Holder != s.env.Address || hello.Pass) {
-			s.copy.Submit(now, ledger.Command{Kind: ledger.KindHello, Hello: hello}, helloEach, out)
+	for _, site := range s.zones() {
+		store, name := s.access.State(), LeadershipOf(site)
+		d, to := store.Leadership(name), s.preferredLeader(site)
+		hello := ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone, Leadership: name, Candidate: to.ID, Epoch: d.Epoch}
+		silent := d.Leader == "" || store.Now()-d.LastSeenAt > store.Config().Limits.HeartbeatTimeout.Duration/2
+		hello.Transfer = d.Leader == s.config.Address && s.config.Zone != site && to.Zone == site
+		if to.ID != "" && (silent && d.Leader != s.config.Address || hello.Transfer) {
+			s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: hello}, registrationInterval, out)
 			said = true
 		}
 	}
-	s.wanted = map[string]bool{}
+	s.unledZones = map[string]bool{}
 	if !said {
-		s.copy.Submit(now, ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{Daemon: s.env.Address, Site: s.env.Site}}, helloEach, out)
+		s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}}, registrationInterval, out)
 	}
 }
 
 // take gives a duty to the primary's own dispatcher.
-func (s *Scheduler) take(now time.Duration, site string, out *machine.Output) {
-	if s.copy.Fresh(now) && !s.holds(site) {
-		hello := ledger.Hello{Daemon: s.env.Address, Site: s.env.Site}
-		s.copy.Submit(now, ledger.Command{Kind: ledger.KindTake, Name: DutyOf(site), Hello: hello}, commandWait, out)
+func (s *Scheduler) takeLeadership(now time.Duration, site string, out *machine.Output) {
+	if s.access.Fresh(now) && !s.leads(site) {
+		hello := ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}
+		s.access.Submit(now, ledger.Command{Kind: ledger.KindTakeLeadership, Name: LeadershipOf(site), SchedulerHeartbeat: hello}, commandTimeout, out)
 	}
 }
 
 // candidate is the scheduler that should hold a site's duty: alive, not the
 // silent holder, of the site itself if there is one, with the fewest duties.
-func (s *Scheduler) candidate(site string) ledger.Daemon {
-	l := s.copy.View()
+func (s *Scheduler) preferredLeader(site string) ledger.Scheduler {
+	store := s.access.State()
 	load := map[string]int{}
-	for _, d := range l.Duties() {
-		load[d.Holder]++
+	for _, d := range store.Leaderships() {
+		load[d.Leader]++
 	}
-	var best ledger.Daemon
-	for _, d := range l.Daemons(l.Plan().Limits.Silent.Duration / 2) {
-		if d.ID == s.env.Address && s.stopping {
+	var best ledger.Scheduler
+	for _, d := range store.Schedulers(store.Config().Limits.HeartbeatTimeout.Duration / 2) {
+		if d.ID == s.config.Address && s.stopping {
 			continue
 		}
-		near, bestNear := d.Site == site, best.Site == site
+		near, bestNear := d.Zone == site, best.Zone == site
 		if best.ID == "" || near && !bestNear || near == bestNear && load[d.ID] < load[best.ID] {
 			best = d
 		}
@@ -298,122 +298,122 @@
 
 // handOver names successors for the duties held.
 func (s *Scheduler) handOver(now time.Duration, out *machine.Output) {
-	if s.copy.Own() {
+	if s.access.IsLocal() {
 		return
 	}
-	for _, site := range s.Duties() {
-		if to := s.candidate(site); to.ID != "" {
-			d := s.copy.View().Duty(DutyOf(site))
-			s.copy.Submit(now, ledger.Command{Kind: ledger.KindHello, Hello: ledger.Hello{
-				Daemon: s.env.Address, Site: s.env.Site, Want: d.Name, For: to.ID, Epoch: d.Epoch, Pass: true, Leaving: true,
-			}}, commandWait, out)
+	for _, site := range s.LedZones() {
+		if to := s.preferredLeader(site); to.ID != "" {
+			d := s.access.State().Leadership(LeadershipOf(site))
+			s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{
+				Scheduler: s.config.Address, Zone: s.config.Zone, Leadership: d.Name, Candidate: to.ID, Epoch: d.Epoch, Transfer: true, Leaving: true,
+			}}, commandTimeout, out)
 		}
 	}
 }
 
-func (s *Scheduler) beat(now time.Duration, from string, b wire.BeatBody, out *machine.Output) {
-	site := b.Beat.Site
-	if s.copy.Own() && !s.stopping {
-		s.take(now, site, out)
+func (s *Scheduler) handleHeartbeat(now time.Duration, from string, b wire.HeartbeatRequest, out *machine.Output) {
+	site := b.Heartbeat.Zone
+	if s.access.IsLocal() && !s.stopping {
+		s.takeLeadership(now, site, out)
 	}
-	d := s.copy.View().Duty(DutyOf(site))
-	if !s.holds(site) || s.stopping {
-		if d.Holder == "" && !s.stopping && !s.wanted[site] {
-			s.wanted[site], s.helloAt = true, now
+	d := s.access.State().Leadership(LeadershipOf(site))
+	if !s.leads(site) || s.stopping {
+		if d.Leader == "" && !s.stopping && !s.unledZones[site] {
+			s.unledZones[site], s.nextRegistration = true, now
 		}
-		out.Send(from, wire.BeatBack, wire.BeatBackBody{ID: b.ID, Answer: ledger.Answer{Code: code.StaleEpoch, Why: "the duty for this site is elsewhere", RetryAfter: 200 * time.Millisecond}})
+		out.Send(from, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: b.ID, Result: ledger.Result{Code: code.StaleEpoch, Reason: "the duty for this site is elsewhere", RetryAfter: 200 * time.Millisecond}})
 		return
 	}
-	if a, stale := s.stale(b.Beat); stale {
-		out.Send(from, wire.BeatBack, wire.BeatBackBody{ID: b.ID, Answer: a})
+	if a, stale := s.rejectStale(b.Heartbeat); stale {
+		out.Send(from, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: b.ID, Result: a})
 		return
 	}
-	if old, ok := s.records[b.Beat.Worker]; ok {
-		s.reply(old, ledger.Answer{Code: code.StaleBeat, Why: "a later beat replaced this one"}, out)
+	if old, ok := s.heartbeats[b.Heartbeat.Worker]; ok {
+		s.reply(old, ledger.Result{Code: code.StaleHeartbeat, Reason: "a later beat replaced this one"}, out)
 	}
-	r := record{id: b.ID, from: from, beat: b.Beat, holdFor: b.Hold, until: now + b.Hold}
-	if s.copy.Own() {
-		s.hear(now, r, out)
+	r := pendingHeartbeat{requestID: b.ID, replyTo: from, heartbeat: b.Heartbeat, holdFor: b.MaxWait, replyBy: now + b.MaxWait}
+	if s.access.IsLocal() {
+		s.admitHeartbeat(now, r, out)
 		return
 	}
-	r.command = s.copy.Submit(now, ledger.Command{Kind: ledger.KindBeat, Beat: b.Beat}, commandWait, out)
-	s.records[b.Beat.Worker] = r
-	s.commands[r.command] = b.Beat.Worker
+	r.commandID = s.access.Submit(now, ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b.Heartbeat}, commandTimeout, out)
+	s.heartbeats[b.Heartbeat.Worker] = r
+	s.heartbeatCommands[r.commandID] = b.Heartbeat.Worker
 }
 
-func (s *Scheduler) reply(r record, a ledger.Answer, out *machine.Output) {
-	out.Send(r.from, wire.BeatBack, wire.BeatBackBody{ID: r.id, Answer: a})
-	delete(s.records, r.beat.Worker)
+func (s *Scheduler) reply(r pendingHeartbeat, a ledger.Result, out *machine.Output) {
+	out.Send(r.replyTo, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: r.requestID, Result: a})
+	delete(s.heartbeats, r.heartbeat.Worker)
 }
 
-func (s *Scheduler) result(now time.Duration, r follow.Result, out *machine.Output) {
+func (s *Scheduler) handleResult(now time.Duration, r follow.CommandResult, out *machine.Output) {
 	if p, ok := s.proposals[r.ID]; ok {
-		for _, pick := range p.picks {
-			s.news[pick.Worker] = true
+		for _, pick := range p.assignments {
+			s.changedWorkers[pick.Worker] = true
 		}
-		if r.Answer.Code.Good() {
-			p.at = r.At
+		if r.Result.Code.IsSuccess() {
+			p.committedAt = r.AppliedIndex
 		} else {
-			p.until, p.at, p.refused = now+refusedFor, 0, true
+			p.expiresAt, p.committedAt, p.rejected = now+rejectedBackoff, 0, true
 			switch {
-			case p.pushOut:
-			case r.Answer.Code == code.TaskNotOpen:
-				s.dispatch.Counters.Reserved++
-			case r.Answer.Code == code.OverShare:
-				s.overShare[p.class] = max(s.overShare[p.class], r.At)
-				p.until = now
+			case p.preemption:
+			case r.Result.Code == code.TaskNotPending:
+				s.dispatcher.Counters.Reserved++
+			case r.Result.Code == code.QuotaExceeded:
+				s.overShareUntil[p.class] = max(s.overShareUntil[p.class], r.AppliedIndex)
+				p.expiresAt = now
 			}
-			out.Log("grant_bounced", "code", r.Answer.Code.String(), "job", p.picks[0].Job, "task", p.picks[0].Task, "worker", p.picks[0].Worker)
-			p.rooms = nil
+			out.Log("grant_bounced", "code", r.Result.Code.String(), "job", p.assignments[0].Job, "task", p.assignments[0].Task, "worker", p.assignments[0].Worker)
+			p.resources = nil
 		}
 		s.proposals[r.ID] = p
 		return
 	}
-	s.ended(now, r.ID)
-	s.promised(now, r.ID, r.Answer.Code.Good())
-	worker := s.commands[r.ID]
-	delete(s.commands, r.ID)
-	rec, ok := s.records[worker]
+	s.commandEnded(now, r.ID)
+	s.leasesCommitted(now, r.ID, r.Result.Code.IsSuccess())
+	worker := s.heartbeatCommands[r.ID]
+	delete(s.heartbeatCommands, r.ID)
+	rec, ok := s.heartbeats[worker]
 	switch {
-	case !ok || rec.command != r.ID:
-	case !r.Answer.Code.Good():
-		s.reply(rec, r.Answer, out)
+	case !ok || rec.commandID != r.ID:
+	case !r.Result.Code.IsSuccess():
+		s.reply(rec, r.Result, out)
 	default:
-		s.news[worker] = true
-		rec.recorded, rec.orders = true, r.Answer.Orders
+		s.changedWorkers[worker] = true
+		rec.recorded, rec.orders = true, r.Result.Heartbeat
 		rec.orders.Starts = nil
-		s.records[worker] = rec
+		s.heartbeats[worker] = rec
 	}
 }
 
 // held is what is under way: tasks and room that a grant was asked for and the
 // copy does not show yet, tasks that were refused a moment ago, and classes that
 // the ledger found over their share at a position that the copy has not reached.
-func (s *Scheduler) held(now time.Duration) dispatch.Held {
-	h := dispatch.Held{Tasks: map[dispatch.Ref]bool{}, Room: map[string]ledger.Room{}, Slots: map[[2]string]int{}, Closed: map[[2]string]bool{}}
-	for class, at := range s.overShare {
-		if s.copy.View().Position().Sequence >= at {
-			delete(s.overShare, class)
+func (s *Scheduler) inFlight(now time.Duration) dispatch.InFlight {
+	h := dispatch.InFlight{Tasks: map[dispatch.TaskRef]bool{}, Resources: map[string]ledger.Resources{}, Slots: map[[2]string]int{}, OverShare: map[[2]string]bool{}}
+	for class, at := range s.overShareUntil {
+		if s.access.State().Position().Index >= at {
+			delete(s.overShareUntil, class)
 		} else {
-			h.Closed[class] = true
+			h.OverShare[class] = true
 		}
 	}
 	for id, p := range s.proposals {
-		if p.at > 0 && s.copy.View().Position().Sequence >= p.at || now > p.until {
+		if p.committedAt > 0 && s.access.State().Position().Index >= p.committedAt || now > p.expiresAt {
 			delete(s.proposals, id)
 			continue
 		}
-		if s.copy.Own() && !p.refused {
+		if s.access.IsLocal() && !p.rejected {
 			continue
 		}
-		for _, at := range p.refs {
+		for _, at := range p.tasks {
 			h.Tasks[at] = true
 		}
-		if s.copy.Own() {
+		if s.access.IsLocal() {
 			continue
 		}
-		for i, room := range p.rooms {
-			h.Room[p.picks[i].Worker] = h.Room[p.picks[i].Worker].Add(room)
+		for i, room := range p.resources {
+			h.Resources[p.assignments[i].Worker] = h.Resources[p.assignments[i].Worker].Add(room)
 			h.Slots[p.class] += room.Slots
 		}
 	}
@@ -423,41 +423,41 @@
 // pass runs over the table: it asks for turns for every worker that waits with
 // room, own inboxes before helping, then replies to each beat that has orders
 // or has been held long enough.
-func (s *Scheduler) pass(now time.Duration, out *machine.Output) {
-	whole := !s.copy.Own() || now >= s.wholeAt
-	workers := s.dueWorkers(whole)
-	s.news = map[string]bool{}
+func (s *Scheduler) scan(now time.Duration, out *machine.Output) {
+	whole := !s.access.IsLocal() || now >= s.nextFullScan
+	workers := s.workersToScan(whole)
+	s.changedWorkers = map[string]bool{}
 	if whole {
-		s.wholeAt = now + passEach
-	}
-	l := s.copy.View()
-	if !s.stopping && s.copy.Fresh(now) {
-		s.pull(now, workers, out)
-		if now >= s.pushAt || !s.copy.Own() {
-			s.pushAt = now + pushEach
-			for _, site := range s.Duties() {
-				if pick, ok := s.dispatch.PushOut(l, site, s.held(now)); ok {
-					s.ask(now, DutyOf(site), ledger.KindPushOut, pick, out)
-					s.pushAt = now
+		s.nextFullScan = now + fullScanInterval
+	}
+	store := s.access.State()
+	if !s.stopping && s.access.Fresh(now) {
+		s.grantWork(now, workers, out)
+		if now >= s.nextPreemption || !s.access.IsLocal() {
+			s.nextPreemption = now + preemptionInterval
+			for _, site := range s.LedZones() {
+				if pick, ok := s.dispatcher.Preempt(store, site, s.inFlight(now)); ok {
+					s.propose(now, LeadershipOf(site), ledger.KindPreempt, pick, out)
+					s.nextPreemption = now
 				}
 			}
 		}
 	}
 	unsure := map[ledger.Attempt]bool{}
 	for _, p := range s.proposals {
-		for i := range p.refs {
-			if s.copy.Own() && p.at == 0 && !p.refused {
-				unsure[ledger.Attempt{Job: p.picks[i].Job, Task: p.picks[i].Task}] = true
+		for i := range p.tasks {
+			if s.access.IsLocal() && p.committedAt == 0 && !p.rejected {
+				unsure[ledger.Attempt{Job: p.assignments[i].Job, Task: p.assignments[i].Task}] = true
 			}
 		}
 	}
 	for _, worker := range workers {
-		if r := s.records[worker]; r.recorded {
-			s.orders(now, r, unsure, out)
+		if r := s.heartbeats[worker]; r.recorded {
+			s.sendOrders(now, r, unsure, out)
 		}
 	}
 	if whole {
-		maps.DeleteFunc(s.told, func(_ ledger.Attempt, at time.Duration) bool { return now-at > 10*retellAfter })
+		maps.DeleteFunc(s.stopsSentAt, func(_ ledger.Attempt, at time.Duration) bool { return now-at > 10*resendStopAfter })
 	}
 }
 
@@ -465,120 +465,120 @@
 // own inboxes before helping. In the primary's own process what is asked for is
 // in the ledger at once, and a worker that found nothing is left alone until
 // something has changed for it.
-func (s *Scheduler) pull(now time.Duration, workers []string, out *machine.Output) {
-	l := s.copy.View()
-	held := s.held(now)
+func (s *Scheduler) grantWork(now time.Duration, workers []string, out *machine.Output) {
+	store := s.access.State()
+	held := s.inFlight(now)
 	var able []string
 	for _, worker := range workers {
-		r := s.records[worker]
-		if !r.recorded && !s.copy.Own() || r.beat.Leaving || !s.holds(r.beat.Site) || s.behind(r) {
+		r := s.heartbeats[worker]
+		if !r.recorded && !s.access.IsLocal() || r.heartbeat.Leaving || !s.leads(r.heartbeat.Zone) || s.notYetApplied(r) {
 			continue
 		}
-		if idle, ok := s.idle[worker]; s.copy.Own() && ok && idle.room == l.Room(worker) && idle.news == s.dispatch.News(worker) && now < idle.until {
+		if idle, ok := s.idle[worker]; s.access.IsLocal() && ok && idle.free == store.FreeResources(worker) && idle.queueVersion == s.dispatcher.QueueVersion(worker) && now < idle.until {
 			continue
 		}
 		able = append(able, worker)
 	}
 	asked := 0
-	for _, pull := range dispatch.Pulls {
+	for _, pull := range dispatch.PullRounds {
 		for _, worker := range able {
 			for {
-				if asked >= askMost && s.copy.Own() {
-					s.pullLater(now, able)
+				if asked >= maxGrantsPerScan && s.access.IsLocal() {
+					s.deferGrants(now, able)
 					return
 				}
-				choice, ok := s.dispatch.Next(l, worker, held, pull)
+				choice, ok := s.dispatcher.Pull(store, worker, held, pull)
 				if !ok {
 					break
 				}
 				asked++
-				if s.ask(now, DutyOf(s.records[worker].beat.Site), ledger.KindGrant, choice, out); !s.copy.Own() {
-					held = s.held(now)
+				if s.propose(now, LeadershipOf(s.heartbeats[worker].heartbeat.Zone), ledger.KindGrantLeases, choice, out); !s.access.IsLocal() {
+					held = s.inFlight(now)
 					continue
 				}
-				for _, at := range choice.Refs {
+				for _, at := range choice.Tasks {
 					held.Tasks[at] = true
 				}
 			}
 		}
 	}
 	for _, worker := range able {
-		s.idle[worker] = idle{s.dispatch.News(worker), l.Room(worker), now + passEach}
+		s.idle[worker] = idleMark{s.dispatcher.QueueVersion(worker), store.FreeResources(worker), now + fullScanInterval}
 	}
 }
 
 // behind says whether the copy has not yet seen this very beat.
-func (s *Scheduler) behind(r record) bool {
-	w, ok := s.copy.View().Worker(r.beat.Worker)
-	if s.copy.Own() {
-		return !ok || !r.applied || w.Incarnation != r.beat.Incarnation || w.Number > r.beat.Number
+func (s *Scheduler) notYetApplied(r pendingHeartbeat) bool {
+	w, ok := s.access.State().Worker(r.heartbeat.Worker)
+	if s.access.IsLocal() {
+		return !ok || !r.applied || w.Incarnation != r.heartbeat.Incarnation || w.Number > r.heartbeat.Number
 	}
-	return !ok || w.Incarnation != r.beat.Incarnation || w.Number != r.beat.Number
+	return !ok || w.Incarnation != r.heartbeat.Incarnation || w.Number != r.heartbeat.Number
 }
 
-func (s *Scheduler) ask(now time.Duration, duty, kind string, c dispatch.Choice, out *machine.Output) {
-	p := proposal{picks: c.Picks, refs: c.Refs, until: now + commandWait, pushOut: kind == ledger.KindPushOut}
-	for i, pick := range c.Picks {
-		c.Picks[i].Beat = s.heard[pick.Worker].number
-		job, _ := s.copy.View().Job(pick.Job)
+func (s *Scheduler) propose(now time.Duration, duty, kind string, c dispatch.Proposal, out *machine.Output) {
+	p := pendingProposal{assignments: c.Assignments, tasks: c.Tasks, expiresAt: now + commandTimeout, preemption: kind == ledger.KindPreempt}
+	for i, pick := range c.Assignments {
+		c.Assignments[i].HeartbeatNumber = s.lastHeartbeats[pick.Worker].number
+		job, _ := s.access.State().Job(pick.Job)
 		p.class = [2]string{job.Spec.Service, job.Spec.Class}
-		if i < len(c.Refs) {
-			p.rooms = append(p.rooms, job.Spec.Tasks[c.Refs[i].Task].Room)
+		if i < len(c.Tasks) {
+			p.resources = append(p.resources, job.Spec.Tasks[c.Tasks[i].Index].Resources)
 		}
 	}
-	grant := ledger.Grant{Duty: duty, Epoch: s.copy.View().Duty(duty).Epoch, Picks: c.Picks, For: c.For}
-	s.proposals[s.copy.Submit(now, ledger.Command{Kind: kind, Grant: grant}, commandWait, out)] = p
+	grant := ledger.Grant{Leadership: duty, Epoch: s.access.State().Leadership(duty).Epoch, Assignments: c.Assignments, PreemptFor: c.PreemptFor}
+	s.proposals[s.access.Submit(now, ledger.Command{Kind: kind, Grant: grant}, commandTimeout, out)] = p
 }
 
 // Drop forgets what was under way, since the lead has come or gone, and takes all
 // that waits from the ledger anew.
-func (s *Scheduler) Drop() {
-	s.dispatch.Update(s.copy.View(), []ledger.Changed{{All: true}})
-	s.records, s.proposals, s.commands = map[string]record{}, map[uint64]proposal{}, map[uint64]string{}
-	s.idle, s.news, s.wholeAt = map[string]idle{}, map[string]bool{}, 0
-	s.hearAnew()
-	s.overShare, s.wanted, s.told = map[[2]string]uint64{}, map[string]bool{}, map[ledger.Attempt]time.Duration{}
+func (s *Scheduler) Reset() {
+	s.dispatcher.Update(s.access.State(), []ledger.Change{{All: true}})
+	s.heartbeats, s.proposals, s.heartbeatCommands = map[string]pendingHeartbeat{}, map[uint64]pendingProposal{}, map[uint64]string{}
+	s.idle, s.changedWorkers, s.nextFullScan = map[string]idleMark{}, map[string]bool{}, 0
+	s.resetHeartbeats()
+	s.overShareUntil, s.unledZones, s.stopsSentAt = map[[2]string]uint64{}, map[string]bool{}, map[ledger.Attempt]time.Duration{}
 }
 
 // orders replies to a beat: acks and stops from its record, starts from the
 // copy. A turn rides on the beat it was granted on or on the one after it.
-func (s *Scheduler) orders(now time.Duration, r record, unsure map[ledger.Attempt]bool, out *machine.Output) {
+func (s *Scheduler) sendOrders(now time.Duration, r pendingHeartbeat, unsure map[ledger.Attempt]bool, out *machine.Output) {
 	orders := r.orders
 	urgent := len(orders.Acks) > 0
-	if !s.behind(r) && s.copy.View().Pending(r.beat.Worker) {
+	if !s.notYetApplied(r) && s.access.State().HasPendingOrders(r.heartbeat.Worker) {
 		listed := map[ledger.Attempt]bool{}
-		for _, a := range r.beat.Running {
+		for _, a := range r.heartbeat.Running {
 			listed[a] = true
 		}
-		for _, p := range s.copy.View().Untold(r.beat.Worker) {
-			if p.Turn.Incarnation != r.beat.Incarnation || unsure[ledger.Attempt{Job: p.Job, Task: p.Task}] {
+		for _, p := range s.access.State().PendingOrders(r.heartbeat.Worker) {
+			if p.Lease.Incarnation != r.heartbeat.Incarnation || unsure[ledger.Attempt{Job: p.Job, Task: p.Task}] {
 				continue
 			}
-			if p.Turn.Stop != "" && listed[p.Attempt] && !slices.Contains(orders.Stops, p.Attempt) {
+			if p.Lease.StopReason != "" && listed[p.Attempt] && !slices.Contains(orders.Stops, p.Attempt) {
 				orders.Stops = append(orders.Stops, p.Attempt)
 			}
-			if p.Turn.Stop == "" && p.Turn.StartedAt == 0 && !listed[p.Attempt] && r.beat.Number < p.Turn.Beat+2 {
+			if p.Lease.StopReason == "" && p.Lease.StartedAt == 0 && !listed[p.Attempt] && r.heartbeat.Number < p.Lease.HeartbeatNumber+2 {
 				orders.Starts = append(orders.Starts, p.Start)
 			}
 		}
 	}
 	for _, a := range orders.Stops {
-		if at, ok := s.told[a]; !ok || now-at > retellAfter {
+		if at, ok := s.stopsSentAt[a]; !ok || now-at > resendStopAfter {
 			urgent = true
 		}
 	}
-	if !urgent && len(orders.Starts) == 0 && now < r.until {
+	if !urgent && len(orders.Starts) == 0 && now < r.replyBy {
 		return
 	}
 	for _, a := range orders.Stops {
-		s.told[a] = now
+		s.stopsSentAt[a] = now
 	}
-	if r.calm {
-		orders.Lease = s.leaseLeft(r)
+	if r.unchanged {
+		orders.LeaseDuration = s.leaseLeft(r)
 	}
-	orders.Epoch = s.copy.View().Position().Epoch
-	s.reply(r, ledger.Answer{Code: code.OK, RetryAfter: s.pace(now), Orders: orders}, out)
+	orders.Epoch = s.access.State().Position().Epoch
+	s.reply(r, ledger.Result{Code: code.OK, RetryAfter: s.reportInterval(now), Heartbeat: orders}, out)
 }
 
 // Inboxes shows how much waits where, for operators.
-func (s *Scheduler) Inboxes() map[string]int { return s.dispatch.Inboxes() }
+func (s *Scheduler) QueueLengths() map[string]int { return s.dispatcher.QueueLengths() }
--- a/core/wire/encoding_test.go
+++ b/core/wire/encoding_test.go
@@ -14,9 +14,9 @@
 
 // bodies are one of each type that travels between processes.
 var bodies = []any{
-	Gossip{}, FoundBody{}, RegisterBody{}, ReplicateBody{}, ReplicateAckBody{}, SnapshotBody{},
-	SnapshotAskBody{}, CommandBody{},
-	CommandBackBody{}, FollowBody{}, NewsBody{}, BeatBody{}, BeatBackBody{},
+	Gossip{}, BootstrapStatus{}, PaxosMessage{}, ReplicateRequest{}, ReplicateAck{}, SnapshotChunk{},
+	SnapshotRequest{}, CommandRequest{},
+	CommandReply{}, SubscribeRequest{}, FeedUpdate{}, HeartbeatRequest{}, HeartbeatReply{},
 }
 
 // TestBodiesAreReadAsTheyWereWritten sends each body once empty and once with
@@ -49,16 +49,16 @@
 		ID    uint64    `json:"id"`
 		Later []float64 `json:"later"`
 	}{7, []float64{0.5, 1}})
-	var got BeatBody
+	var got HeartbeatRequest
 	if err := machine.Unmarshal(data, &got); err != nil || got.ID != 7 {
 		t.Errorf("got %+v, %v", got, err)
 	}
 }
 
 func TestADamagedBodyIsRefused(t *testing.T) {
-	data := machine.MustMarshal(BeatBody{ID: 7, Beat: ledger.Beat{Worker: "w"}})
+	data := machine.MustMarshal(HeartbeatRequest{ID: 7, Heartbeat: ledger.Heartbeat{Worker: "w"}})
 	for length := range data {
-		var got BeatBody
+		var got HeartbeatRequest
 		if err := machine.Unmarshal(data[:length], &got); err == nil {
 			t.Errorf("%d of %d bytes are read as %+v", length, len(data), got)
 		}
@@ -68,8 +68,8 @@
 // TestASnapshotOfManyRecordsIsRead holds more records than the library's default limit.
 func TestASnapshotOfManyRecordsIsRead(t *testing.T) {
 	const records = 200_000
-	var got NewsBody
-	data := machine.MustMarshal(NewsBody{Records: make([]machine.Record, records)})
+	var got FeedUpdate
+	data := machine.MustMarshal(FeedUpdate{Records: make([]machine.Record, records)})
 	if err := machine.Unmarshal(data, &got); err != nil || len(got.Records) != records {
 		t.Errorf("read %d records, %v", len(got.Records), err)
 	}
@@ -85,7 +85,7 @@
 	case *json.RawMessage:
 		*value = json.RawMessage(`{"a":[1,"b"]}`)
 		return
-	case *plan.Span:
+	case *plan.Duration:
 		value.Duration = 90 * time.Second
 		return
 	}
@@ -136,12 +136,12 @@
 		name string
 		body any
 	}{
-		{"Beat16", BeatBody{ID: 1 << 50, Hold: 500 * time.Millisecond, Beat: beatOf(16)}},
-		{"Replicate20", ReplicateBody{
-			Boot: 1 << 60, View: viewOf(5), From: viewOf(5).Primary, Token: 12345,
-			After: ledger.Position{Epoch: 3, Sequence: 123456}, Commands: commandsOf(20),
+		{"Beat16", HeartbeatRequest{ID: 1 << 50, MaxWait: 500 * time.Millisecond, Heartbeat: heartbeatOf(16)}},
+		{"Replicate20", ReplicateRequest{
+			BootID: 1 << 60, View: viewOf(5), From: viewOf(5).Primary, SendID: 12345,
+			Previous: ledger.LogPosition{Epoch: 3, Index: 123456}, Commands: commandsOf(20),
 		}},
-		{"CommandAccept", CommandBody{ID: 1 << 50, Command: accept(1)}},
+		{"CommandAccept", CommandRequest{ID: 1 << 50, Command: acceptCommand(1)}},
 	} {
 		for _, codec := range []codec{{"JSON", json.Marshal, json.Unmarshal}, {"InUse", machine.Marshal, machine.Unmarshal}} {
 			data, err := codec.marshal(row.body)
@@ -168,13 +168,13 @@
 }
 
 func attempt(i int) ledger.Attempt {
-	return ledger.Attempt{Job: fmt.Sprintf("job-%06d", i), Task: fmt.Sprintf("0.1.%d", i), Try: 1}
+	return ledger.Attempt{Job: fmt.Sprintf("job-%06d", i), Task: fmt.Sprintf("0.1.%d", i), Number: 1}
 }
 
-func beatOf(running int) ledger.Beat {
-	beat := ledger.Beat{
-		Worker: "worker-017", Incarnation: 1764650000000, Number: 4711, Site: "site-b", Rack: "r3", Service: "render",
-		Free: plan.Room{Slots: 1000, MemoryMB: 4096}, Total: plan.Room{Slots: 16000, MemoryMB: 65536},
+func heartbeatOf(running int) ledger.Heartbeat {
+	beat := ledger.Heartbeat{
+		Worker: "worker-017", Incarnation: 1764650000000, Number: 4711, Zone: "site-b", Rack: "r3", Service: "render",
+		Free: plan.Resources{Slots: 1000, MemoryMB: 4096}, Total: plan.Resources{Slots: 16000, MemoryMB: 65536},
 		Address: "10.0.0.17:7000",
 	}
 	for i := range running {
@@ -183,24 +183,24 @@
 	return beat
 }
 
-func viewOf(keepers int) View {
-	view := View{Epoch: 3, Boot: 1 << 60}
-	for i := range keepers {
-		seat := Seat{ID: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.0.1.%d:7000", i), Site: "site-a"}
-		view.Witnesses = append(view.Witnesses, seat)
+func viewOf(replicas int) View {
+	view := View{Epoch: 3, BootID: 1 << 60}
+	for i := range replicas {
+		member := Member{ID: fmt.Sprintf("%016x", i), Address: fmt.Sprintf("10.0.1.%d:7000", i), Zone: "site-a"}
+		view.Voters = append(view.Voters, member)
 	}
-	view.Primary, view.Backups = view.Witnesses[0], view.Witnesses[1:3]
+	view.Primary, view.Backups = view.Voters[0], view.Voters[1:3]
 	return view
 }
 
-func accept(i int) ledger.Command {
+func acceptCommand(i int) ledger.Command {
 	return ledger.Command{
-		Position: ledger.Position{Epoch: 3, Sequence: uint64(i)}, At: time.Duration(i) * time.Second,
-		Kind: ledger.KindAccept, Brief: true,
-		Accept: ledger.JobSpec{
+		LogPosition: ledger.LogPosition{Epoch: 3, Index: uint64(i)}, Time: time.Duration(i) * time.Second,
+		Kind: ledger.KindAcceptJob, Summary: true,
+		Job: ledger.JobSpec{
 			ID: fmt.Sprintf("job-%06d", i), Service: "render", Class: "batch",
 			Payload: json.RawMessage(`{"frame":17,"scene":"harbour"}`),
-			Steps:   []ledger.StepSpec{{Count: 8, Room: plan.Room{Slots: 1000, MemoryMB: 512}}},
+			Steps:   []ledger.StepSpec{{Count: 8, Resources: plan.Resources{Slots: 1000, MemoryMB: 512}}},
 		},
 	}
 }
@@ -209,16 +209,16 @@
 func commandsOf(count int) []json.RawMessage {
 	var commands []json.RawMessage
 	for i := range count {
-		switch command := accept(i); i % 3 {
+		switch command := acceptCommand(i); i % 3 {
 		case 0:
 			commands = append(commands, ledger.Encode(command).Encoded)
 		case 1:
-			command.Kind, command.Accept = ledger.KindGrant, ledger.JobSpec{}
-			pick := ledger.Pick{Job: "job-000001", Task: "0.1.1", Worker: "worker-017"}
-			command.Grant = ledger.Grant{Duty: "site-a", Epoch: 3, Picks: []ledger.Pick{pick}}
+			command.Kind, command.Job = ledger.KindGrantLeases, ledger.JobSpec{}
+			pick := ledger.Assignment{Job: "job-000001", Task: "0.1.1", Worker: "worker-017"}
+			command.Grant = ledger.Grant{Leadership: "site-a", Epoch: 3, Assignments: []ledger.Assignment{pick}}
 			commands = append(commands, ledger.Encode(command).Encoded)
 		default:
-			command.Kind, command.Accept, command.Beat = ledger.KindBeat, ledger.JobSpec{}, beatOf(4)
+			command.Kind, command.Job, command.Heartbeat = ledger.KindHeartbeat, ledger.JobSpec{}, heartbeatOf(4)
 			commands = append(commands, ledger.Encode(command).Encoded)
 		}
 	}
--- a/daemon/audit/audit.go
+++ b/daemon/audit/audit.go
@@ -32,37 +32,37 @@
 	checkpointName = "checkpoint"
 	secretName     = "secret.key"
 	publicName     = "public.key"
-	inboxMax       = 8192
-	signEach       = time.Second
+	queueCapacity  = 8192
+	signInterval   = time.Second
 )
 
 // Log is one keeper's log.
 type Log struct {
-	folder  string
-	origin  string
-	signer  note.Signer
-	entries *os.File
-	hashes  *os.File
-	size    int64
-	last    uint64
-	inbox   chan machine.Audit
+	dir       string
+	origin    string
+	signer    note.Signer
+	entries   *os.File
+	hashes    *os.File
+	size      int64
+	lastIndex uint64
+	queue     chan machine.AuditEntry
 }
 
 // Open continues the log in a folder, or begins one. What a lost power left
 // half written at its end is cut off; the rest must hold together.
-func Open(folder, origin string) (*Log, error) {
-	if err := os.MkdirAll(folder, 0o700); err != nil {
+func Open(dir, origin string) (*Log, error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	l := &Log{folder: folder, origin: "sorrelloom/" + origin, inbox: make(chan machine.Audit, inboxMax)}
+	l := &Log{dir: dir, origin: "sorrelloom/" + origin, queue: make(chan machine.AuditEntry, queueCapacity)}
 	var err error
-	if l.signer, err = l.key(); err != nil {
+	if l.signer, err = l.loadOrCreateKey(); err != nil {
 		return nil, err
 	}
-	if l.entries, err = os.OpenFile(filepath.Join(folder, entriesName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if l.entries, err = os.OpenFile(filepath.Join(dir, entriesName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
-	if l.hashes, err = os.OpenFile(filepath.Join(folder, hashesName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+	if l.hashes, err = os.OpenFile(filepath.Join(dir, hashesName), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
 	if err := l.recover(); err != nil {
@@ -71,15 +71,15 @@
 	return l, nil
 }
 
-func (l *Log) key() (note.Signer, error) {
-	path := filepath.Join(l.folder, secretName)
+func (l *Log) loadOrCreateKey() (note.Signer, error) {
+	path := filepath.Join(l.dir, secretName)
 	secret, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		made, public, err := note.GenerateKey(rand.Reader, l.origin)
 		if err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(filepath.Join(l.folder, publicName), []byte(public+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(l.dir, publicName), []byte(public+"\n"), 0o644); err != nil {
 			return nil, err
 		}
 		if err := os.WriteFile(path, []byte(made), 0o600); err != nil {
@@ -104,15 +104,15 @@
 		if err != nil {
 			return err
 		}
-		var e ledger.Entry
+		var e ledger.AuditEntry
 		if json.Unmarshal(line, &e) != nil {
-			return fmt.Errorf("audit entry %d of %s is damaged", l.size, l.folder)
+			return fmt.Errorf("audit entry %d of %s is damaged", l.size, l.dir)
 		}
-		if err := l.hash(line[:len(line)-1]); err != nil {
+		if err := l.appendHashes(line[:len(line)-1]); err != nil {
 			return err
 		}
 		good += int64(len(line))
-		l.last = e.Sequence
+		l.lastIndex = e.Index
 	}
 	if err := l.entries.Truncate(good); err != nil {
 		return err
@@ -122,8 +122,8 @@
 }
 
 // hash stores the hashes that one more entry completes.
-func (l *Log) hash(entry []byte) error {
-	made, err := tlog.StoredHashes(l.size, entry, reader(l.hashes))
+func (l *Log) appendHashes(entry []byte) error {
+	made, err := tlog.StoredHashes(l.size, entry, hashReader(l.hashes))
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func reader(f io.ReaderAt) tlog.HashReader {
+func hashReader(f io.ReaderAt) tlog.HashReader {
 	return tlog.HashReaderFunc(func(indexes []int64) ([]tlog.Hash, error) {
 		out := make([]tlog.Hash, len(indexes))
 		for i, index := range indexes {
@@ -150,9 +150,9 @@
 }
 
 // Put hands an entry over without waiting; false means that it was dropped.
-func (l *Log) Put(a machine.Audit) bool {
+func (l *Log) TryAppend(a machine.AuditEntry) bool {
 	select {
-	case l.inbox <- a:
+	case l.queue <- a:
 		return true
 	default:
 		return false
@@ -162,13 +162,13 @@
 // Run writes as long as the process lives, and signs once a second.
 func (l *Log) Run() {
 	pool.Go(func() {
-		ticker := time.NewTicker(signEach)
+		ticker := time.NewTicker(signInterval)
 		defer ticker.Stop()
 		signed := l.size
 		for {
 			var err error
 			select {
-			case a := <-l.inbox:
+			case a := <-l.queue:
 				err = l.write(a)
 			case <-ticker.C:
 				if signed == l.size {
@@ -179,22 +179,22 @@
 				}
 			}
 			if err != nil {
-				logline.Event("audit_failed", "why", err.Error())
+				logline.Info("audit_failed", "why", err.Error())
 				return
 			}
 		}
 	})
 }
 
-func (l *Log) write(a machine.Audit) error {
-	if a.Sequence <= l.last {
+func (l *Log) write(a machine.AuditEntry) error {
+	if a.Index <= l.lastIndex {
 		return nil
 	}
-	if _, err := l.entries.Write(append(append([]byte(nil), a.Entry...), '\n')); err != nil {
+	if _, err := l.entries.Write(append(append([]byte(nil), a.Data...), '\n')); err != nil {
 		return err
 	}
-	l.last = a.Sequence
-	return l.hash(a.Entry)
+	l.lastIndex = a.Index
+	return l.appendHashes(a.Data)
 }
 
 // sign syncs what was written and signs its root.
@@ -204,7 +204,7 @@
 			return err
 		}
 	}
-	root, err := tlog.TreeHash(l.size, reader(l.hashes))
+	root, err := tlog.TreeHash(l.size, hashReader(l.hashes))
 	if err != nil {
 		return err
 	}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(l.folder, checkpointName)
+	path := filepath.Join(l.dir, checkpointName)
 	if err := os.WriteFile(path+".new", signed, 0o644); err != nil {
 		return err
 	}
@@ -221,51 +221,51 @@
 
 // Finding is one thing wrong with a log, or with several put together.
 type Finding struct {
-	Folder string `json:"folder,omitempty"`
-	Entry  int64  `json:"entry"`
-	Why    string `json:"why"`
+	Dir        string `json:"folder,omitempty"`
+	EntryIndex int64  `json:"entry"`
+	Reason     string `json:"why"`
 }
 
 // Report is what a verification came to.
 type Report struct {
-	Entries  int       `json:"entries"`
-	From     uint64    `json:"from"`
-	To       uint64    `json:"to"`
-	Findings []Finding `json:"findings"`
+	EntryCount int       `json:"entries"`
+	FirstIndex uint64    `json:"from"`
+	LastIndex  uint64    `json:"to"`
+	Findings   []Finding `json:"findings"`
 }
 
 // Verify checks logs against their checkpoints, and all of them together for
 // decisions that are missing. The keys are taken from the folders unless others
 // are given, which a careful auditor does.
-func Verify(folders []string, keys []string) (Report, error) {
+func Verify(dirs []string, keys []string) (Report, error) {
 	var r Report
 	r.Findings = []Finding{}
 	all := map[uint64]string{}
 	chain := map[uint64]uint64{}
-	for _, folder := range folders {
-		lines, err := verifyOne(folder, keys, &r)
+	for _, dir := range dirs {
+		lines, err := verifyOne(dir, keys, &r)
 		if err != nil {
 			return r, err
 		}
 		for i, line := range lines {
-			var e ledger.Entry
+			var e ledger.AuditEntry
 			if err := json.Unmarshal([]byte(line), &e); err != nil {
-				r.Findings = append(r.Findings, Finding{folder, int64(i), "not a JSON entry"})
+				r.Findings = append(r.Findings, Finding{dir, int64(i), "not a JSON entry"})
 				continue
 			}
-			if old, ok := all[e.Sequence]; ok && old != line {
-				what := fmt.Sprintf("sequence %d says something else in another log", e.Sequence)
-				r.Findings = append(r.Findings, Finding{folder, int64(i), what})
+			if old, ok := all[e.Index]; ok && old != line {
+				what := fmt.Sprintf("sequence %d says something else in another log", e.Index)
+				r.Findings = append(r.Findings, Finding{dir, int64(i), what})
 			}
-			all[e.Sequence], chain[e.Sequence] = line, e.Previous
-			if r.From == 0 || e.Sequence < r.From {
-				r.From = e.Sequence
+			all[e.Index], chain[e.Index] = line, e.PreviousIndex
+			if r.FirstIndex == 0 || e.Index < r.FirstIndex {
+				r.FirstIndex = e.Index
 			}
-			r.To = max(r.To, e.Sequence)
+			r.LastIndex = max(r.LastIndex, e.Index)
 		}
 	}
-	r.Entries = len(all)
-	for at := r.To; at > r.From; {
+	r.EntryCount = len(all)
+	for at := r.LastIndex; at > r.FirstIndex; {
 		previous, ok := chain[at]
 		if !ok {
 			break
@@ -277,7 +277,7 @@
 					next = max(next, s)
 				}
 			}
-			if previous > r.From {
+			if previous > r.FirstIndex {
 				what := fmt.Sprintf(
 					"the decision of sequence %d is missing; the one before it that is there is %d", previous, next)
 				r.Findings = append(r.Findings, Finding{"", -1, what})
@@ -289,20 +289,20 @@
 	return r, nil
 }
 
-func verifyOne(folder string, keys []string, r *Report) ([]string, error) {
+func verifyOne(dir string, keys []string, r *Report) ([]string, error) {
 	find := func(entry int64, format string, args ...any) {
-		r.Findings = append(r.Findings, Finding{folder, entry, fmt.Sprintf(format, args...)})
+		r.Findings = append(r.Findings, Finding{dir, entry, fmt.Sprintf(format, args...)})
 	}
-	data, err := os.ReadFile(filepath.Join(folder, entriesName))
+	data, err := os.ReadFile(filepath.Join(dir, entriesName))
 	if err != nil {
 		return nil, err
 	}
-	signed, err := os.ReadFile(filepath.Join(folder, checkpointName))
+	signed, err := os.ReadFile(filepath.Join(dir, checkpointName))
 	if err != nil {
 		return nil, err
 	}
 	if len(keys) == 0 {
-		public, err := os.ReadFile(filepath.Join(folder, publicName))
+		public, err := os.ReadFile(filepath.Join(dir, publicName))
 		if err != nil {
 			return nil, err
 		}
@@ -341,7 +341,7 @@
 	if int64(len(lines)) < size {
 		find(int64(len(lines)), "the checkpoint covers %d entries, %d are there", size, len(lines))
 	}
-	stored, err := os.Open(filepath.Join(folder, hashesName))
+	stored, err := os.Open(filepath.Join(dir, hashesName))
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/audit/audit_test.go
+++ b/daemon/audit/audit_test.go
@@ -12,20 +12,20 @@
 	"sorrelloom/core/machine"
 )
 
-func entry(sequence, previous uint64) machine.Audit {
-	e := ledger.Entry{
-		Position:  ledger.Position{Epoch: 1, Sequence: sequence},
-		Previous:  previous,
-		Decisions: []ledger.Decision{{Kind: "accept", Job: "j"}},
+func entry(sequence, previous uint64) machine.AuditEntry {
+	e := ledger.AuditEntry{
+		LogPosition:   ledger.LogPosition{Epoch: 1, Index: sequence},
+		PreviousIndex: previous,
+		Decisions:     []ledger.Decision{{Kind: "accept", Job: "j"}},
 	}
-	return machine.Audit{Sequence: sequence, Entry: machine.MustJSON(e)}
+	return machine.AuditEntry{Index: sequence, Data: machine.MustJSON(e)}
 }
 
 // written makes a log of entries with sequences 10, 20, … and signs it.
-func written(t *testing.T, from, to uint64) string {
+func writeSignedLog(t *testing.T, from, to uint64) string {
 	t.Helper()
-	folder := t.TempDir()
-	l, err := Open(folder, "k1")
+	dir := t.TempDir()
+	l, err := Open(dir, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,12 +37,12 @@
 	if err := l.sign(); err != nil {
 		t.Fatal(err)
 	}
-	return folder
+	return dir
 }
 
-func spoil(t *testing.T, folder, name string, f func([]byte) []byte) {
+func corruptFile(t *testing.T, dir, name string, f func([]byte) []byte) {
 	t.Helper()
-	path := filepath.Join(folder, name)
+	path := filepath.Join(dir, name)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -83,9 +83,9 @@
 		}, -1, ""},
 	}
 	for _, row := range table {
-		folder := written(t, 10, 90)
-		spoil(t, folder, row.file, row.do)
-		r, err := Verify([]string{folder}, nil)
+		dir := writeSignedLog(t, 10, 90)
+		corruptFile(t, dir, row.file, row.do)
+		r, err := Verify([]string{dir}, nil)
 		if row.name == "another key" {
 			if err == nil && len(r.Findings) == 0 {
 				t.Errorf("%s: taken", row.name)
@@ -98,7 +98,7 @@
 		}
 		found := row.why == "" && len(r.Findings) == 0
 		for _, f := range r.Findings {
-			found = found || row.why != "" && f.Entry == row.entry && strings.Contains(f.Why, row.why)
+			found = found || row.why != "" && f.EntryIndex == row.entry && strings.Contains(f.Reason, row.why)
 		}
 		if !found {
 			t.Errorf("%s: %+v", row.name, r.Findings)
@@ -107,24 +107,24 @@
 }
 
 func TestSeveralLogsAreOneChain(t *testing.T) {
-	first, second, later := written(t, 10, 50), written(t, 40, 90), written(t, 70, 90)
-	if r, err := Verify([]string{first, second}, nil); err != nil || len(r.Findings) > 0 || r.Entries != 9 {
+	first, second, later := writeSignedLog(t, 10, 50), writeSignedLog(t, 40, 90), writeSignedLog(t, 70, 90)
+	if r, err := Verify([]string{first, second}, nil); err != nil || len(r.Findings) > 0 || r.EntryCount != 9 {
 		t.Errorf("overlapping: %+v %v", r, err)
 	}
 	r, err := Verify([]string{first, later}, nil)
-	if err != nil || len(r.Findings) != 1 || !strings.Contains(r.Findings[0].Why, "sequence 60 is missing") {
+	if err != nil || len(r.Findings) != 1 || !strings.Contains(r.Findings[0].Reason, "sequence 60 is missing") {
 		t.Errorf("with a gap: %+v %v", r, err)
 	}
-	spoil(t, second, entriesName, func(b []byte) []byte { return bytes.Replace(b, []byte("accept"), []byte("cancel"), 1) })
+	corruptFile(t, second, entriesName, func(b []byte) []byte { return bytes.Replace(b, []byte("accept"), []byte("cancel"), 1) })
 	if r, _ = Verify([]string{first, second}, nil); len(r.Findings) < 2 {
 		t.Errorf("two logs that differ: %+v", r.Findings)
 	}
 }
 
 func TestALogGoesOnAfterAHalfWrittenEnd(t *testing.T) {
-	folder := written(t, 10, 50)
-	spoil(t, folder, entriesName, func(b []byte) []byte { return append(b, `{"epoch":1,"sequ`...) })
-	l, err := Open(folder, "k1")
+	dir := writeSignedLog(t, 10, 50)
+	corruptFile(t, dir, entriesName, func(b []byte) []byte { return append(b, `{"epoch":1,"sequ`...) })
+	l, err := Open(dir, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,11 +136,11 @@
 	if err := l.sign(); err != nil {
 		t.Fatal(err)
 	}
-	r, err := Verify([]string{folder}, nil)
-	if err != nil || len(r.Findings) > 0 || r.Entries != 6 {
+	r, err := Verify([]string{dir}, nil)
+	if err != nil || len(r.Findings) > 0 || r.EntryCount != 6 {
 		t.Errorf("%+v %v", r, err)
 	}
-	data, err := os.ReadFile(filepath.Join(folder, entriesName))
+	data, err := os.ReadFile(filepath.Join(dir, entriesName))
 	if err != nil || !json.Valid(bytes.Split(data, []byte("\n"))[5]) {
 		t.Errorf("%v %s", err, data)
 	}
--- a/daemon/client/client.go
+++ b/daemon/client/client.go
@@ -16,24 +16,24 @@
 )
 
 var (
-	namespace   = errorx.NewNamespace("client")
-	Unreachable = namespace.NewType("unreachable")
+	namespace      = errorx.NewNamespace("client")
+	ErrUnreachable = namespace.NewType("unreachable")
 )
 
 type Client struct {
-	fronts []string
-	turn   atomic.Uint64
-	hertz  *hertz.Client
+	gateways    []string
+	nextGateway atomic.Uint64
+	hertz       *hertz.Client
 }
 
 // Must makes a client of IP:port addresses.
-func Must(fronts []string) *Client {
+func MustNew(fronts []string) *Client {
 	hlog.SetLevel(hlog.LevelFatal)
 	h, err := hertz.NewClient(hertz.WithDialTimeout(time.Second), hertz.WithMaxConnsPerHost(4096), hertz.WithClientReadTimeout(time.Minute))
 	if err != nil {
 		panic(err)
 	}
-	return &Client{fronts: fronts, hertz: h}
+	return &Client{gateways: fronts, hertz: h}
 }
 
 // Response is what came back, whatever its status.
@@ -51,18 +51,18 @@
 }
 
 // Once calls the front whose turn it is, and moves the turn on if that fails.
-func (c *Client) Once(method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
-	turn := c.turn.Load()
-	front := c.fronts[turn%uint64(len(c.fronts))]
-	r, err := c.At(front, method, path, body, headers, wait)
+func (c *Client) CallOnce(method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
+	turn := c.nextGateway.Load()
+	front := c.gateways[turn%uint64(len(c.gateways))]
+	r, err := c.CallAddress(front, method, path, body, headers, wait)
 	if err != nil || r.Status == 503 {
-		c.turn.CompareAndSwap(turn, turn+1)
+		c.nextGateway.CompareAndSwap(turn, turn+1)
 	}
 	return r, err
 }
 
 // At calls one address.
-func (c *Client) At(address, method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
+func (c *Client) CallAddress(address, method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
 	req, res := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(res)
@@ -76,7 +76,7 @@
 		req.Header.Set(key, value)
 	}
 	if err := c.hertz.DoTimeout(context.Background(), req, res, wait); err != nil {
-		return Response{}, Unreachable.Wrap(err, "%s %s at %s", method, path, address)
+		return Response{}, ErrUnreachable.Wrap(err, "%s %s at %s", method, path, address)
 	}
 	return Response{res.StatusCode(), res.Header.Get("Retry-After"), append([]byte(nil), res.Body()...)}, nil
 }
@@ -85,8 +85,8 @@
 func (c *Client) Call(method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
 	var r Response
 	var err error
-	for range c.fronts {
-		if r, err = c.Once(method, path, body, headers, wait); err == nil && r.Status != 503 {
+	for range c.gateways {
+		if r, err = c.CallOnce(method, path, body, headers, wait); err == nil && r.Status != 503 {
 			return r, nil
 		}
 	}
--- a/daemon/cmd/front/main.go
+++ b/daemon/cmd/front/main.go
@@ -16,29 +16,29 @@
 	os.Exit(run.Main("front", false, build))
 }
 
-func build(e env.Env, _ machine.Stored) (run.Built, error) {
-	f := front.New(front.Env{Address: e.Address, Site: e.Site, First: run.Chance()})
-	page := func(h *host.Host, s *host.Shard) web.Page {
-		return web.Page{
+func build(e env.Settings, _ machine.StoredState) (run.Daemon, error) {
+	f := front.New(front.Config{Address: e.Address, Zone: e.Zone, FirstCommandID: run.RandomID()})
+	page := func(h *host.Host, s *host.Runner) web.Diagnostics {
+		return web.Diagnostics{
 			Ready: func() (ready bool) {
-				s.Look(func() { ready = f.Ready(h.Now()) })
+				s.Inspect(func() { ready = f.Ready(h.Now()) })
 				return ready
 			},
 			Status: func() (v any) {
-				s.Look(func() { v = map[string]any{"planSequence": f.Sequence(), "open": f.Open()} })
+				s.Inspect(func() { v = map[string]any{"planSequence": f.ConfigVersion(), "open": f.PendingCount()} })
 				return v
 			},
 			Gauges: []web.Gauge{
 				{Name: "requests_open", Help: "records in the table", Read: func() (v float64) {
-					s.Look(func() { v = float64(f.Open()) })
+					s.Inspect(func() { v = float64(f.PendingCount()) })
 					return v
 				}},
 				{Name: "plan_sequence", Help: "plan in force here", Read: func() (v float64) {
-					s.Look(func() { v = float64(f.Sequence()) })
+					s.Inspect(func() { v = float64(f.ConfigVersion()) })
 					return v
 				}},
 			},
 		}
 	}
-	return run.Built{ID: e.Address, Machine: f, Page: page, API: true}, nil
+	return run.Daemon{ID: e.Address, Machine: f, Diagnostics: page, API: true}, nil
 }
--- a/daemon/cmd/keeper/main.go
+++ b/daemon/cmd/keeper/main.go
@@ -16,27 +16,27 @@
 	os.Exit(run.Main("keeper", true, build))
 }
 
-func build(e env.Env, stored machine.Stored) (run.Built, error) {
-	k, err := keeper.New(keeper.Env{
-		Address: e.Address, Site: e.Site, Founders: e.Founders, FreshID: run.ChanceID(), Boot: run.Chance(),
+func build(e env.Settings, stored machine.StoredState) (run.Daemon, error) {
+	k, err := keeper.New(keeper.Config{
+		Address: e.Address, Zone: e.Zone, Founders: e.Founders, NewID: run.RandomHexID(), BootID: run.RandomID(),
 	}, stored)
 	if err != nil {
-		return run.Built{}, err
+		return run.Daemon{}, err
 	}
-	page := func(h *host.Host, s *host.Shard) web.Page {
+	page := func(h *host.Host, s *host.Runner) web.Diagnostics {
 		look := func(f func() float64) func() float64 {
 			return func() (v float64) {
-				s.Look(func() { v = f() })
+				s.Inspect(func() { v = f() })
 				return v
 			}
 		}
-		return web.Page{
+		return web.Diagnostics{
 			Ready: func() (ready bool) {
-				s.Look(func() { ready = k.View().Epoch > 0 })
+				s.Inspect(func() { ready = k.View().Epoch > 0 })
 				return ready
 			},
 			Status: func() (status any) {
-				s.Look(func() { status = k.Report(h.Now()) })
+				s.Inspect(func() { status = k.Report(h.Now()) })
 				return status
 			},
 			Gauges: []web.Gauge{
@@ -47,12 +47,12 @@
 					}
 					return 0
 				})},
-				{Name: "ledger_sequence", Help: "commands applied", Read: look(func() float64 { return float64(k.Status().At.Sequence) })},
-				{Name: "committed_sequence", Help: "commands that two disks have", Read: look(func() float64 { return float64(k.Status().Committed) })},
-				{Name: "batches", Help: "synced batches", Read: look(func() float64 { return float64(k.Batches()) })},
-				{Name: "plan_sequence", Help: "plan in force", Read: look(func() float64 { return float64(k.Status().Plan) })},
+				{Name: "ledger_sequence", Help: "commands applied", Read: look(func() float64 { return float64(k.Status().Position.Index) })},
+				{Name: "committed_sequence", Help: "commands that two disks have", Read: look(func() float64 { return float64(k.Status().CommitIndex) })},
+				{Name: "batches", Help: "synced batches", Read: look(func() float64 { return float64(k.WritesIssued()) })},
+				{Name: "plan_sequence", Help: "plan in force", Read: look(func() float64 { return float64(k.Status().ConfigVersion) })},
 			},
 		}
 	}
-	return run.Built{ID: k.ID(), Machine: k, Page: page}, nil
+	return run.Daemon{ID: k.ID(), Machine: k, Diagnostics: page}, nil
 }
--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -24,22 +24,22 @@
 	Counters dispatch.Counters `json:"counters"`
 }
 
-func build(e env.Env, _ machine.Stored) (run.Built, error) {
-	sched := scheduler.New(scheduler.Env{Address: e.Address, Site: e.Site, First: run.Chance()})
-	page := func(h *host.Host, s *host.Shard) web.Page {
+func build(e env.Settings, _ machine.StoredState) (run.Daemon, error) {
+	sched := scheduler.New(scheduler.Config{Address: e.Address, Zone: e.Zone, FirstCommandID: run.RandomID()})
+	page := func(h *host.Host, s *host.Runner) web.Diagnostics {
 		counter := func(name, help string, f func(dispatch.Counters) uint64) web.Gauge {
 			return web.Gauge{Name: "dispatch_" + name, Help: help, Read: func() (v float64) {
-				s.Look(func() { v = float64(f(sched.Counters())) })
+				s.Inspect(func() { v = float64(f(sched.Counters())) })
 				return v
 			}}
 		}
-		return web.Page{
+		return web.Diagnostics{
 			Ready: func() (ready bool) {
-				s.Look(func() { ready = sched.Ready(h.Now()) })
+				s.Inspect(func() { ready = sched.Ready(h.Now()) })
 				return ready
 			},
 			Status: func() (v any) {
-				s.Look(func() { v = status{sched.Duties(), sched.Sequence(), sched.Inboxes(), sched.Counters()} })
+				s.Inspect(func() { v = status{sched.LedZones(), sched.ConfigVersion(), sched.QueueLengths(), sched.Counters()} })
 				return v
 			},
 			Gauges: []web.Gauge{
@@ -55,5 +55,5 @@
 			},
 		}
 	}
-	return run.Built{ID: e.Address, Machine: sched, Page: page}, nil
+	return run.Daemon{ID: e.Address, Machine: sched, Diagnostics: page}, nil
 }
--- a/daemon/cmd/sorrelctl/main.go
+++ b/daemon/cmd/sorrelctl/main.go
@@ -46,7 +46,7 @@
 Flags:
 `
 
-type call struct {
+type apiCall struct {
 	method, path string
 	file         string
 }
@@ -81,10 +81,10 @@
 		return 0
 	}
 	if len(words) == 1 && words[0] == "members" {
-		return members(strings.Split(*fronts, ","), addresses(*status), *timeout, out, errs)
+		return members(strings.Split(*fronts, ","), splitAddresses(*status), *timeout, out, errs)
 	}
 	if len(words) > 2 && words[0] == "audit" && words[1] == "verify" {
-		return verify(words[2:], *keys, out, errs)
+		return verifyAuditLogs(words[2:], *keys, out, errs)
 	}
 	baseGiven := false
 	fs.Visit(func(f *flag.Flag) { baseGiven = baseGiven || f.Name == "base" })
@@ -95,7 +95,7 @@
 	case baseGiven:
 		change = fmt.Sprintf("?base=%d", *base)
 	}
-	c, ok := parse(words, *wait, change)
+	c, ok := parseCommand(words, *wait, change)
 	if !ok {
 		fs.Usage()
 		return 2
@@ -107,7 +107,7 @@
 	var body []byte
 	if c.file != "" {
 		var err error
-		if body, err = read(c.file); err != nil {
+		if body, err = readFile(c.file); err != nil {
 			fmt.Fprintln(errs, "sorrelctl:", err)
 			return 2
 		}
@@ -116,7 +116,7 @@
 		*key = rand.Text()
 	}
 	headers := map[string]string{"Idempotency-Key": *key}
-	r, err := client.Must(strings.Split(*fronts, ",")).Call(c.method, c.path, body, headers, *timeout+*wait)
+	r, err := client.MustNew(strings.Split(*fronts, ",")).Call(c.method, c.path, body, headers, *timeout+*wait)
 	if err != nil {
 		fmt.Fprintln(errs, "sorrelctl: no front answered:", err)
 		return 3
@@ -124,7 +124,7 @@
 	if len(words) == 2 && words[0] == "why" && r.Status == 200 {
 		var view front.JobView
 		if err := r.Decode(&view); err == nil {
-			fmt.Fprintln(out, view.Waits)
+			fmt.Fprintln(out, view.WaitReason)
 			return 0
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // verify prints a report and ends with 1 if anything is wrong.
-func verify(folders []string, keys string, out, errs io.Writer) int {
+func verifyAuditLogs(folders []string, keys string, out, errs io.Writer) int {
 	var known []string
 	if keys != "" {
 		known = strings.Split(keys, ",")
@@ -157,21 +157,21 @@
 }
 
 // addresses splits a list at its commas; an empty text lists none.
-func addresses(list string) []string {
+func splitAddresses(list string) []string {
 	if list == "" {
 		return nil
 	}
 	return strings.Split(list, ",")
 }
 
-func read(file string) ([]byte, error) {
+func readFile(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(file)
 }
 
-func parse(words []string, wait time.Duration, change string) (call, bool) {
+func parseCommand(words []string, wait time.Duration, change string) (apiCall, bool) {
 	name := ""
 	if len(words) > 0 {
 		name = url.PathEscape(words[len(words)-1])
@@ -180,37 +180,37 @@
 	case 1:
 		switch words[0] {
 		case "jobs", "workers", "nodes", "duties":
-			return call{"GET", "/v1/" + words[0], ""}, true
+			return apiCall{"GET", "/v1/" + words[0], ""}, true
 		}
 	case 2:
 		switch words[0] {
 		case "submit":
-			return call{"POST", "/v1/jobs", words[1]}, true
+			return apiCall{"POST", "/v1/jobs", words[1]}, true
 		case "status", "why":
-			return call{"GET", "/v1/jobs/" + name + "?wait=" + wait.String(), ""}, true
+			return apiCall{"GET", "/v1/jobs/" + name + "?wait=" + wait.String(), ""}, true
 		case "cancel":
-			return call{"DELETE", "/v1/jobs/" + name, ""}, true
+			return apiCall{"DELETE", "/v1/jobs/" + name, ""}, true
 		}
 		if words[0] == "plan" && words[1] == "get" {
-			return call{"GET", "/v1/plan", ""}, true
+			return apiCall{"GET", "/v1/plan", ""}, true
 		}
 	case 4:
 		if words[0] == "duty" && words[1] == "pass" {
-			return call{"POST", "/v1/duties/" + url.PathEscape(words[2]) + "/pass?to=" + url.QueryEscape(words[3]), ""}, true
+			return apiCall{"POST", "/v1/duties/" + url.PathEscape(words[2]) + "/pass?to=" + url.QueryEscape(words[3]), ""}, true
 		}
 	case 3:
 		switch words[0] + " " + words[1] {
 		case "plan check":
-			return call{"POST", "/v1/plan/check", words[2]}, true
+			return apiCall{"POST", "/v1/plan/check", words[2]}, true
 		case "plan put":
-			return call{"PUT", "/v1/plan" + change, words[2]}, true
+			return apiCall{"PUT", "/v1/plan" + change, words[2]}, true
 		case "plan patch":
-			return call{"PATCH", "/v1/plan" + change, words[2]}, true
+			return apiCall{"PATCH", "/v1/plan" + change, words[2]}, true
 		case "site empty", "site refill":
-			return call{"POST", "/v1/sites/" + name + "/" + words[1], ""}, true
+			return apiCall{"POST", "/v1/sites/" + name + "/" + words[1], ""}, true
 		case "worker drain", "worker undrain", "worker gone":
-			return call{"POST", "/v1/workers/" + name + "/" + words[1], ""}, true
+			return apiCall{"POST", "/v1/workers/" + name + "/" + words[1], ""}, true
 		}
 	}
-	return call{}, false
+	return apiCall{}, false
 }
--- a/daemon/cmd/sorrelctl/members.go
+++ b/daemon/cmd/sorrelctl/members.go
@@ -18,22 +18,22 @@
 	nodesPath  = "/v1/nodes"
 	statusPath = "/status"
 	// statusWait is how long one member's status page may take.
-	statusWait = time.Second
-	keeperRole = "keeper"
+	statusWait  = time.Second
+	replicaRole = "keeper"
 )
 
 // Exit codes, as the package comment names them.
 const (
-	exitYes = iota
-	exitBounce
+	exitOK = iota
+	exitRejected
 	exitUsage
 	exitUnreachable
 )
 
 // memberPage is one member's own report.
-type memberPage struct {
+type statusPage struct {
 	address string
-	report  keeper.Report
+	status  keeper.Report
 }
 
 // members prints who leads, in which epoch, and how far each member is behind. The
@@ -41,36 +41,36 @@
 func members(fronts, pages []string, wait time.Duration, out, errs io.Writer) int {
 	if len(pages) == 0 {
 		var err error
-		if pages, err = pagesOfKeepers(fronts, wait); err != nil {
+		if pages, err = replicaStatusAddresses(fronts, wait); err != nil {
 			fmt.Fprintln(errs, "sorrelctl: no front answered:", err)
 			return exitUnreachable
 		}
 	}
-	var answered []memberPage
+	var answered []statusPage
 	for _, address := range pages {
 		report, err := readReport(address, min(wait, statusWait))
 		if err != nil {
 			fmt.Fprintf(errs, "sorrelctl: no status from %s: %v\n", address, err)
 			continue
 		}
-		answered = append(answered, memberPage{address, report})
+		answered = append(answered, statusPage{address, report})
 	}
 	if len(answered) == 0 {
 		return exitUnreachable
 	}
-	best := bestReport(answered)
-	printMembers(out, best.report)
-	printOutsiders(out, best.report, answered)
-	if !best.report.Proven {
+	best := mostRecentReport(answered)
+	printMembers(out, best.status)
+	printNonMembers(out, best.status, answered)
+	if !best.status.LeadershipConfirmed {
 		fmt.Fprintln(errs, "sorrelctl: of the members that answered none leads and is confirmed by its backups")
-		return exitBounce
+		return exitRejected
 	}
-	return exitYes
+	return exitOK
 }
 
 // pagesOfKeepers asks a front for the HTTP addresses of the keepers.
-func pagesOfKeepers(fronts []string, wait time.Duration) ([]string, error) {
-	response, err := client.Must(fronts).Call("GET", nodesPath, nil, nil, wait)
+func replicaStatusAddresses(fronts []string, wait time.Duration) ([]string, error) {
+	response, err := client.MustNew(fronts).Call("GET", nodesPath, nil, nil, wait)
 	if err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	}
 	var pages []string
 	for _, node := range known.Nodes {
-		if node.Role == keeperRole && node.HTTP != "" {
-			pages = append(pages, node.HTTP)
+		if node.Role == replicaRole && node.HTTPAddress != "" {
+			pages = append(pages, node.HTTPAddress)
 		}
 	}
 	slices.Sort(pages)
@@ -90,7 +90,7 @@
 
 func readReport(address string, wait time.Duration) (keeper.Report, error) {
 	var report keeper.Report
-	response, err := client.Must([]string{address}).At(address, "GET", statusPath, nil, nil, wait)
+	response, err := client.MustNew([]string{address}).CallAddress(address, "GET", statusPath, nil, nil, wait)
 	if err != nil {
 		return report, err
 	}
@@ -99,19 +99,19 @@
 
 // bestReport is that of the newest view, and in it of the one that leads: a leader
 // that was replaced without hearing of it still says that it leads an older epoch.
-func bestReport(answered []memberPage) memberPage {
-	return slices.MaxFunc(answered, func(a, b memberPage) int {
-		if byEpoch := cmp.Compare(a.report.View.Epoch, b.report.View.Epoch); byEpoch != 0 {
+func mostRecentReport(answered []statusPage) statusPage {
+	return slices.MaxFunc(answered, func(a, b statusPage) int {
+		if byEpoch := cmp.Compare(a.status.View.Epoch, b.status.View.Epoch); byEpoch != 0 {
 			return byEpoch
 		}
-		return cmp.Compare(leadership(a.report), leadership(b.report))
+		return cmp.Compare(leadership(a.status), leadership(b.status))
 	})
 }
 
 // leadership ranks reports of one epoch: that of a proven leader tells most.
 func leadership(r keeper.Report) int {
 	switch {
-	case r.Proven:
+	case r.LeadershipConfirmed:
 		return 2
 	case r.Serving:
 		return 1
@@ -124,27 +124,27 @@
 	switch {
 	case !report.Serving:
 		leads = "is named to lead and did not confirm it in"
-	case !report.Proven:
+	case !report.LeadershipConfirmed:
 		leads = "leads and is not confirmed by its backups in"
 	}
 	fmt.Fprintf(out, "%s %s epoch %d; sequence %d, as %s reports\n",
-		report.View.Primary.Address, leads, report.View.Epoch, report.At.Sequence, report.ID)
+		report.View.Primary.Address, leads, report.View.Epoch, report.Position.Index, report.ID)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer table.Flush()
 	fmt.Fprintln(table, "ADDRESS\tSITE\tROLE\tSEQUENCE\tLAG\tHEARD\tID")
 	for _, m := range report.Members {
 		sequence, lag := "-", "-"
 		if m.Lag != keeper.Unknown || m.ID == report.ID {
-			sequence = fmt.Sprint(m.Sequence)
+			sequence = fmt.Sprint(m.Index)
 		}
 		if m.Lag != keeper.Unknown {
 			lag = fmt.Sprint(m.Lag)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Address, m.Site, m.Role, sequence, lag, heard(m), m.ID)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Address, m.Zone, m.Role, sequence, lag, formatLastHeard(m), m.ID)
 	}
 }
 
-func heard(m keeper.MemberStatus) string {
+func formatLastHeard(m keeper.MemberStatus) string {
 	if m.HeardMsAgo == keeper.Unknown {
 		return "never"
 	}
@@ -153,12 +153,12 @@
 
 // printOutsiders names the keepers that answer and are no members: one with an empty
 // disk that waits for its place, or one whose place was given to another.
-func printOutsiders(out io.Writer, report keeper.Report, answered []memberPage) {
+func printNonMembers(out io.Writer, report keeper.Report, answered []statusPage) {
 	var outsiders []string
 	for _, page := range answered {
-		isMember := slices.ContainsFunc(report.Members, func(m keeper.MemberStatus) bool { return m.ID == page.report.ID })
+		isMember := slices.ContainsFunc(report.Members, func(m keeper.MemberStatus) bool { return m.ID == page.status.ID })
 		if !isMember {
-			outsiders = append(outsiders, fmt.Sprintf("%s (%s)", page.address, page.report.ID))
+			outsiders = append(outsiders, fmt.Sprintf("%s (%s)", page.address, page.status.ID))
 		}
 	}
 	if len(outsiders) > 0 {
--- a/daemon/cmd/sorrelctl/members_test.go
+++ b/daemon/cmd/sorrelctl/members_test.go
@@ -32,14 +32,14 @@
 
 // reportOf is the report of a keeper in an epoch that seat "one" leads.
 func reportOf(id string, epoch uint64, serving bool) keeper.Report {
-	one, two := wire.Seat{ID: "one", Address: "10.0.0.1:7000"}, wire.Seat{ID: "two", Address: "10.0.0.2:7000"}
+	one, two := wire.Member{ID: "one", Address: "10.0.0.1:7000"}, wire.Member{ID: "two", Address: "10.0.0.2:7000"}
 	var report keeper.Report
-	report.ID, report.Serving, report.Proven = id, serving, serving
-	report.View = wire.View{Epoch: epoch, Primary: one, Backups: []wire.Seat{two}, Witnesses: []wire.Seat{one, two}}
-	report.At = ledger.Position{Epoch: epoch, Sequence: 900}
+	report.ID, report.Serving, report.LeadershipConfirmed = id, serving, serving
+	report.View = wire.View{Epoch: epoch, Primary: one, Backups: []wire.Member{two}, Voters: []wire.Member{one, two}}
+	report.Position = ledger.LogPosition{Epoch: epoch, Index: 900}
 	report.Members = []keeper.MemberStatus{
-		{Seat: one, Role: keeper.Leader, Sequence: 900},
-		{Seat: two, Role: keeper.Backup, Sequence: 893, Lag: 7, HeardMsAgo: 40},
+		{Member: one, Role: keeper.Leader, Index: 900},
+		{Member: two, Role: keeper.Backup, Index: 893, Lag: 7, HeardMsAgo: 40},
 	}
 	if id == "two" {
 		report.Members[0].Lag, report.Members[0].HeardMsAgo = keeper.Unknown, 30
@@ -54,7 +54,7 @@
 	leader := serveJSON(t, statusPath, reportOf("one", 4, true))
 	backup := serveJSON(t, statusPath, reportOf("two", 4, false))
 	alone := reportOf("one", 4, true)
-	alone.Proven = false
+	alone.LeadershipConfirmed = false
 	unproven := serveJSON(t, statusPath, alone)
 	replaced := serveJSON(t, statusPath, reportOf("old", 3, true))
 	for _, row := range []struct {
@@ -63,13 +63,13 @@
 		exit  int
 		has   []string
 	}{
-		{"all answer", []string{backup, leader}, exitYes, []string{"10.0.0.1:7000 leads in epoch 4", "893", "7", "40ms ago"}},
-		{"a replaced leader answers too", []string{replaced, leader}, exitYes,
+		{"all answer", []string{backup, leader}, exitOK, []string{"10.0.0.1:7000 leads in epoch 4", "893", "7", "40ms ago"}},
+		{"a replaced leader answers too", []string{replaced, leader}, exitOK,
 			[]string{"leads in epoch 4", "not in this view: " + replaced + " (old)"}},
-		{"the leader is away", []string{nobody, backup}, exitBounce,
+		{"the leader is away", []string{nobody, backup}, exitRejected,
 			[]string{"is named to lead and did not confirm it in epoch 4",
 				"no status from " + nobody, "none leads and is confirmed"}},
-		{"the leader reaches no backup", []string{unproven, backup}, exitBounce,
+		{"the leader reaches no backup", []string{unproven, backup}, exitRejected,
 			[]string{"leads and is not confirmed by its backups in epoch 4", "none leads and is confirmed"}},
 		{"nobody answers", []string{nobody}, exitUnreachable, []string{"no status from " + nobody}},
 	} {
@@ -91,10 +91,10 @@
 func TestMembersAsksAFrontForTheKeepers(t *testing.T) {
 	leader := serveJSON(t, statusPath, reportOf("one", 4, true))
 	front := serveJSON(t, nodesPath, wire.Gossip{Nodes: []wire.Node{
-		{ID: "one", Role: keeperRole, HTTP: leader}, {ID: "f", Role: "front", HTTP: "127.0.0.1:1"},
+		{ID: "one", Role: replicaRole, HTTPAddress: leader}, {ID: "f", Role: "front", HTTPAddress: "127.0.0.1:1"},
 	}})
 	var out bytes.Buffer
-	if exit := members([]string{front}, nil, time.Second, &out, &out); exit != exitYes {
+	if exit := members([]string{front}, nil, time.Second, &out, &out); exit != exitOK {
 		t.Errorf("ends with %d:\n%s", exit, out.String())
 	}
 }
--- a/daemon/compatibility/cluster_test.go
+++ b/daemon/compatibility/cluster_test.go
@@ -26,12 +26,12 @@
 var wallStart = time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 
 // replica is one keeper with its data folder.
-type replica struct {
+type clusterNode struct {
 	address string
 	site    string
-	keeper  *keeper.Keeper
+	keeper  *keeper.Replica
 	data    *store.Store
-	audits  []machine.Audit
+	audits  []machine.AuditEntry
 	// cut takes all its lines away.
 	cut bool
 }
@@ -40,7 +40,7 @@
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
-	replicas []*replica
+	replicas []*clusterNode
 	agenda   map[time.Duration][]func()
 	// lost is a kind of line that never comes.
 	lost string
@@ -64,15 +64,15 @@
 	data, stored, err := store.Open(filepath.Join(folder, address))
 	c.check(err)
 	c.t.Cleanup(func() { _ = data.Close() })
-	env := keeper.Env{
-		Address: address, Site: string(rune('x' + i%3)), FreshID: address + "-1", Boot: uint64(100 + i), Copies: copies,
+	env := keeper.Config{
+		Address: address, Zone: string(rune('x' + i%3)), NewID: address + "-1", BootID: uint64(100 + i), BackupCount: copies,
 	}
 	if i < 3 {
 		env.Founders = []string{"a", "b", "c"}
 	}
 	k, err := keeper.New(env, stored)
 	c.check(err)
-	c.replicas = append(c.replicas, &replica{address: address, site: env.Site, keeper: k, data: data})
+	c.replicas = append(c.replicas, &clusterNode{address: address, site: env.Zone, keeper: k, data: data})
 }
 
 func (c *cluster) check(err error) {
@@ -89,36 +89,36 @@
 // time is the monotonic time of every process.
 func (c *cluster) time() time.Duration { return c.now + time.Microsecond }
 
-func (c *cluster) step(r *replica, in machine.Input) {
-	in.Wall = wallStart.Add(c.now)
+func (c *cluster) step(r *clusterNode, in machine.Input) {
+	in.WallTime = wallStart.Add(c.now)
 	c.carryOut(r, r.keeper.Step(c.time(), in))
 }
 
 // carryOut sends and writes what a replica wants.
-func (c *cluster) carryOut(r *replica, out machine.Output) {
-	for _, s := range out.Sends {
+func (c *cluster) carryOut(r *clusterNode, out machine.Output) {
+	for _, s := range out.Messages {
 		c.send(r, s)
 	}
 	for _, w := range out.Writes {
-		c.dropped += w.Drop
+		c.dropped += w.TruncateCount
 		c.check(r.data.Write(w))
-		c.after(writeTakes, func() { c.step(r, machine.Input{Wrote: w.Done}) })
+		c.after(writeTakes, func() { c.step(r, machine.Input{CompletedWrite: w.ID}) })
 	}
-	r.audits = append(r.audits, out.Audits...)
+	r.audits = append(r.audits, out.AuditEntries...)
 }
 
-func (c *cluster) send(from *replica, s machine.Send) {
-	i := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.address == s.To })
+func (c *cluster) send(from *clusterNode, s machine.OutgoingMessage) {
+	i := slices.IndexFunc(c.replicas, func(r *clusterNode) bool { return r.address == s.To })
 	if i < 0 || s.Kind == c.lost {
 		return
 	}
 	body, err := s.Encode()
 	c.check(err)
 	to := c.replicas[i]
-	line := machine.Line{Wire: machine.WireSequence, Kind: s.Kind, From: from.address, Body: body}
+	line := machine.Message{Version: machine.ProtocolVersion, Kind: s.Kind, From: from.address, Body: body}
 	c.after(lineTakes, func() {
 		if !from.cut && !to.cut {
-			c.step(to, machine.Input{Line: line})
+			c.step(to, machine.Input{Message: line})
 		}
 	})
 }
@@ -133,7 +133,7 @@
 			do()
 		}
 		for _, r := range c.replicas {
-			if r.keeper.Wakeup() <= c.now {
+			if r.keeper.NextTimer() <= c.now {
 				c.step(r, machine.Input{})
 			}
 		}
@@ -147,20 +147,20 @@
 func (c *cluster) gossip() {
 	var nodes []wire.Node
 	for _, r := range c.replicas {
-		nodes = append(nodes, wire.Node{ID: r.keeper.ID(), Role: "keeper", Site: r.site, Address: r.address})
+		nodes = append(nodes, wire.Node{ID: r.keeper.ID(), Role: "keeper", Zone: r.site, Address: r.address})
 	}
 	body := machine.MustMarshal(wire.Gossip{Nodes: nodes})
-	line := machine.Line{Wire: machine.WireSequence, Kind: wire.Nodes, Body: body}
+	line := machine.Message{Version: machine.ProtocolVersion, Kind: wire.KindNodeList, Body: body}
 	for _, r := range c.replicas {
-		c.step(r, machine.Input{Line: line})
+		c.step(r, machine.Input{Message: line})
 	}
 }
 
-func (c *cluster) primary() *replica {
+func (c *cluster) primary() *clusterNode {
 	c.t.Helper()
 	for range 10000 {
 		for _, r := range c.replicas {
-			if r.keeper.Proven(c.time()) {
+			if r.keeper.LeadershipConfirmed(c.time()) {
 				return r
 			}
 		}
@@ -171,38 +171,38 @@
 }
 
 // submit hands a command to a replica and gives its number.
-func (c *cluster) submit(r *replica, cmd ledger.Command) uint64 {
+func (c *cluster) submit(r *clusterNode, cmd ledger.Command) uint64 {
 	c.asked++
 	var out machine.Output
-	r.keeper.Command(c.time(), c.asked, cmd, &out)
+	r.keeper.Submit(c.time(), c.asked, cmd, &out)
 	c.carryOut(r, out)
 	c.carryOut(r, r.keeper.Flush(c.time()))
 	return c.asked
 }
 
 // do has the primary carry a command out and waits for the answer.
-func (c *cluster) do(cmd ledger.Command) ledger.Answer {
+func (c *cluster) do(cmd ledger.Command) ledger.Result {
 	c.t.Helper()
 	p := c.primary()
 	id := c.submit(p, cmd)
 	for range 10000 {
 		c.pass(stride)
-		for _, back := range p.keeper.TakeOwn() {
+		for _, back := range p.keeper.TakeLocalReplies() {
 			if back.ID == id {
-				return back.Answer
+				return back.Result
 			}
 		}
 	}
 	c.t.Fatalf("%s is not answered", cmd.Kind)
-	return ledger.Answer{}
+	return ledger.Result{}
 }
 
 // must is do with a command that is not refused.
-func (c *cluster) must(cmd ledger.Command) ledger.Answer {
+func (c *cluster) must(cmd ledger.Command) ledger.Result {
 	c.t.Helper()
 	a := c.do(cmd)
-	if !a.Code.Good() {
-		c.t.Fatalf("%s: %v %s", cmd.Kind, a.Code, a.Why)
+	if !a.Code.IsSuccess() {
+		c.t.Fatalf("%s: %v %s", cmd.Kind, a.Code, a.Reason)
 	}
 	return a
 }
@@ -210,7 +210,7 @@
 // refused is do with a command that is.
 func (c *cluster) refused(cmd ledger.Command) {
 	c.t.Helper()
-	if a := c.do(cmd); a.Code.Good() {
+	if a := c.do(cmd); a.Code.IsSuccess() {
 		c.t.Fatalf("%s is not refused", cmd.Kind)
 	}
 }
@@ -257,7 +257,7 @@
 // leaveVotes ends with the primary gone and the next view accepted by the witnesses
 // but not decided.
 func (c *cluster) leaveVotes() {
-	c.lost = wire.AcceptBack
+	c.lost = wire.KindAcceptReply
 	c.primary().cut = true
 	c.pass(3 * time.Second)
 }
--- a/daemon/compatibility/coverage_test.go
+++ b/daemon/compatibility/coverage_test.go
@@ -45,7 +45,7 @@
 func TestEveryKindIsLogged(t *testing.T) {
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
 		for address, o := range openAll(t, folder, copies) {
-			logs := map[string][]json.RawMessage{"before": o.stored.History, "after": o.stored.Commands}
+			logs := map[string][]json.RawMessage{"before": o.stored.CommandsBeforeSnapshot, "after": o.stored.Commands}
 			for what, commands := range logs {
 				if got := kindsOf(t, commands); !slices.Equal(got, kinds) {
 					t.Errorf("%s has in its log %s the snapshot the kinds %v, want %v", address, what, got, kinds)
@@ -69,7 +69,7 @@
 func TestKindsAreComplete(t *testing.T) {
 	for _, kind := range kinds {
 		a := ledger.New().Apply(ledger.Command{Kind: kind})
-		if ledger.Reads(kind) || strings.HasPrefix(a.Why, "unknown command") {
+		if ledger.IsReadOnly(kind) || strings.HasPrefix(a.Reason, "unknown command") {
 			t.Errorf("%s changes nothing: %v", kind, a)
 		}
 	}
@@ -113,21 +113,21 @@
 		o := openAll(t, folder, copies)
 		var commands []any
 		for _, one := range o {
-			commands = append(commands, commandsOf(t, slices.Concat(one.stored.History, one.stored.Commands))...)
+			commands = append(commands, commandsOf(t, slices.Concat(one.stored.CommandsBeforeSnapshot, one.stored.Commands))...)
 		}
 		missing := missingFields(reflect.TypeFor[ledger.Command](), commands, "command")
 		tables := tablesOf(t, golden(t, filepath.Join(folder, ledgerFile)))
 		for name, stored := range map[string]reflect.Type{
 			"job": reflect.TypeFor[ledger.Job](), "task": reflect.TypeFor[ledger.Task](),
-			"worker": reflect.TypeFor[ledger.Worker](), "duty": reflect.TypeFor[ledger.Duty](),
-			"daemon": reflect.TypeFor[ledger.Daemon](), "request": reflect.TypeFor[ledger.Request](),
-			"past": reflect.TypeFor[ledger.Past](), "meta/plan": reflect.TypeFor[plan.Plan](),
+			"worker": reflect.TypeFor[ledger.Worker](), "duty": reflect.TypeFor[ledger.Leadership](),
+			"daemon": reflect.TypeFor[ledger.Scheduler](), "request": reflect.TypeFor[ledger.Request](),
+			"past": reflect.TypeFor[ledger.PastJob](), "meta/plan": reflect.TypeFor[plan.Config](),
 		} {
 			missing = append(missing, missingFields(stored, tables[name], name)...)
 		}
 		registers := registersOf(t, folder)
-		missing = append(missing, missingFields(reflect.TypeFor[register.State](), registers, "register")...)
-		missing = append(missing, missingFields(reflect.TypeFor[ledger.Entry](), entriesOf(t, folder), "entry")...)
+		missing = append(missing, missingFields(reflect.TypeFor[register.Acceptor](), registers, "register")...)
+		missing = append(missing, missingFields(reflect.TypeFor[ledger.AuditEntry](), entriesOf(t, folder), "entry")...)
 		for _, path := range missing {
 			if _, known := absent[path]; !known {
 				t.Errorf("%s has no value in the fixture", path)
--- a/daemon/compatibility/generate_test.go
+++ b/daemon/compatibility/generate_test.go
@@ -49,14 +49,14 @@
 
 // writeAudit has the audit log of a replica write and sign all entries. The key that signed them
 // is not kept.
-func writeAudit(t *testing.T, folder, identity string, entries []machine.Audit) {
+func writeAudit(t *testing.T, folder, identity string, entries []machine.AuditEntry) {
 	log, err := audit.Open(folder, identity)
 	if err != nil {
 		t.Fatal(err)
 	}
 	log.Run()
 	for _, e := range entries {
-		if !log.Put(e) {
+		if !log.TryAppend(e) {
 			t.Fatal("an entry was dropped")
 		}
 	}
@@ -73,7 +73,7 @@
 	replicas := openAll(t, folder, copies)
 	for address, o := range replicas {
 		path := filepath.Join(folder, ledgerFile)
-		state := canonical(t, o.keeper.Ledger().Records())
+		state := canonical(t, o.keeper.Store().Records())
 		if recorded, err := os.ReadFile(path); err == nil {
 			compare(t, "the ledger of "+address, recorded, state)
 		}
--- a/daemon/compatibility/golden_test.go
+++ b/daemon/compatibility/golden_test.go
@@ -102,7 +102,7 @@
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
 		want := golden(t, filepath.Join(folder, ledgerFile))
 		for address, o := range openAll(t, folder, copies) {
-			compare(t, "the ledger of "+address, want, canonical(t, o.keeper.Ledger().Records()))
+			compare(t, "the ledger of "+address, want, canonical(t, o.keeper.Store().Records()))
 		}
 	})
 }
@@ -129,7 +129,7 @@
 func TestCommandsAreEncodedAsLogged(t *testing.T) {
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
 		for address, o := range openAll(t, folder, copies) {
-			for i, encoded := range slices.Concat(o.stored.History, o.stored.Commands) {
+			for i, encoded := range slices.Concat(o.stored.CommandsBeforeSnapshot, o.stored.Commands) {
 				cmd, err := ledger.Decode(encoded)
 				if err != nil {
 					t.Fatalf("%s, command %d: %v", address, i, err)
@@ -179,7 +179,7 @@
 				t.Errorf("%s has %d entries, %s are signed", log, len(entries), signed)
 			}
 			for _, line := range entries {
-				var e ledger.Entry
+				var e ledger.AuditEntry
 				if err := json.Unmarshal(line, &e); err != nil {
 					t.Fatal(err)
 				}
@@ -187,8 +187,8 @@
 				compare(t, "an entry of "+log, line, machine.MustJSON(e))
 			}
 		}
-		if report.Entries != len(distinct) {
-			t.Errorf("%d entries are verified, want %d", report.Entries, len(distinct))
+		if report.EntryCount != len(distinct) {
+			t.Errorf("%d entries are verified, want %d", report.EntryCount, len(distinct))
 		}
 	})
 }
--- a/daemon/compatibility/script_test.go
+++ b/daemon/compatibility/script_test.go
@@ -25,18 +25,18 @@
 // script brings a cluster commands of every kind.
 type script struct {
 	*cluster
-	beats map[string]ledger.Beat
+	beats map[string]ledger.Heartbeat
 }
 
 // history leaves jobs that ended so long ago that only a trace is left, and one of
 // which not even that is.
 func (s *script) history() {
 	s.must(ledger.Command{
-		Kind: ledger.KindPlan, Token: "first", Digest: "of the call", Asked: ledger.AskedUnknown,
-		Plan: ledger.PlanChange{Sequence: 7, Body: json.RawMessage(wholePlan)},
+		Kind: ledger.KindChangeConfig, IdempotencyKey: "first", Digest: "of the call", RequestedAt: ledger.RequestTimeUnknown,
+		ConfigChange: ledger.ConfigChange{Version: 7, Body: json.RawMessage(wholePlan)},
 	})
 	s.accept(ledger.JobSpec{ID: "forgotten", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
-	s.must(ledger.Command{Kind: ledger.KindCancel, Name: "forgotten"})
+	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: "forgotten"})
 	for range 3 {
 		s.pass(6 * time.Second)
 		s.must(ledger.Command{Kind: ledger.KindTick})
@@ -46,7 +46,7 @@
 
 // limits changes some limits of the plan.
 func (s *script) limits(change string) {
-	s.must(ledger.Command{Kind: ledger.KindPlan, Plan: ledger.PlanChange{
+	s.must(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{
 		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":` + change + `}`),
 	}})
 }
@@ -66,85 +66,87 @@
 func (s *script) trace(p string) {
 	s.accept(ledger.JobSpec{ID: p + "past", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
 	s.must(ledger.Command{
-		Kind: ledger.KindCancel, Name: p + "past", Host: "tickets.example", Path: "/quick/1", Brief: true,
+		Kind: ledger.KindCancelJob, Name: p + "past", Host: "tickets.example", Path: "/quick/1", Summary: true,
 	})
 	s.pass(6 * time.Second)
 	s.must(ledger.Command{Kind: ledger.KindTick})
 }
 
-func (s *script) hello(h ledger.Hello) { s.must(ledger.Command{Kind: ledger.KindHello, Hello: h}) }
+func (s *script) hello(h ledger.SchedulerHeartbeat) {
+	s.must(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: h})
+}
 
 // duties has three schedulers: one duty is won, moved and passed on, one is voted
 // about, one is taken by the primary's own dispatcher.
 func (s *script) duties(p string) {
 	duty, own := "dispatch/"+p, "own/"+p
-	s.hello(ledger.Hello{Daemon: "s1", Site: "a", Want: duty, For: "s1"})
+	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: duty, Candidate: "s1"})
 	for _, name := range []string{"s2", "s3", "s4"} {
-		s.hello(ledger.Hello{Daemon: name, Site: "b"})
+		s.hello(ledger.SchedulerHeartbeat{Scheduler: name, Zone: "b"})
 	}
-	s.hello(ledger.Hello{Daemon: "s4", Site: "b", Leaving: true})
-	s.must(ledger.Command{Kind: ledger.KindMove, Name: duty, Token: p + "move", Hello: ledger.Hello{For: "s2"}})
-	s.hello(ledger.Hello{Daemon: "s2", Site: "b", Want: duty, For: "s1", Epoch: 2, Pass: true})
-	s.hello(ledger.Hello{Daemon: "s3", Site: "b", Want: "open/" + p, For: "s1"})
-	s.must(ledger.Command{Kind: ledger.KindTake, Name: own, Hello: ledger.Hello{Daemon: "k1", Site: "a"}})
+	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s4", Zone: "b", Leaving: true})
+	s.must(ledger.Command{Kind: ledger.KindTransferLeadership, Name: duty, IdempotencyKey: p + "move", SchedulerHeartbeat: ledger.SchedulerHeartbeat{Candidate: "s2"}})
+	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s2", Zone: "b", Leadership: duty, Candidate: "s1", Epoch: 2, Transfer: true})
+	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s3", Zone: "b", Leadership: "open/" + p, Candidate: "s1"})
+	s.must(ledger.Command{Kind: ledger.KindTakeLeadership, Name: own, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "k1", Zone: "a"}})
 }
 
 func (s *script) workers(p string) {
-	s.beats = map[string]ledger.Beat{}
+	s.beats = map[string]ledger.Heartbeat{}
 	for _, name := range []string{"w1", "w2", "w3", "w4", "w5", "w6"} {
-		s.beat(p+name, func(b *ledger.Beat) {
-			b.Incarnation, b.Site, b.Rack, b.Service, b.Labels = 5, "a", "r1", "tickets", []string{"ssd"}
-			b.Free = ledger.Room{Slots: 8, Cores: 64, MemoryMB: 4096, Accelerators: 8}
+		s.beat(p+name, func(b *ledger.Heartbeat) {
+			b.Incarnation, b.Zone, b.Rack, b.Service, b.Labels = 5, "a", "r1", "tickets", []string{"ssd"}
+			b.Free = ledger.Resources{Slots: 8, Cores: 64, MemoryMB: 4096, Accelerators: 8}
 			b.Total, b.Address = b.Free, "10.0.0.1:"+p+name
 		})
 	}
-	s.beat(p+"w4", func(b *ledger.Beat) { b.Leaving, b.LeavesIn = true, time.Minute })
+	s.beat(p+"w4", func(b *ledger.Heartbeat) { b.Leaving, b.LeavesIn = true, time.Minute })
 }
 
 // beat sends a worker's next report.
-func (s *script) beat(id string, change func(*ledger.Beat)) {
+func (s *script) beat(id string, change func(*ledger.Heartbeat)) {
 	b := s.beats[id]
 	b.Worker, b.Number = id, b.Number+1
 	change(&b)
-	s.must(ledger.Command{Kind: ledger.KindBeat, Beat: b})
-	b.Ended, b.Progress, b.Unlisted, b.Reduced = nil, nil, nil, false
+	s.must(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
+	b.Ended, b.Progress, b.NotRunning, b.Delta = nil, nil, nil, false
 	s.beats[id] = b
 }
 
 func (s *script) accept(spec ledger.JobSpec) {
-	s.must(ledger.Command{Kind: ledger.KindAccept, Accept: spec})
+	s.must(ledger.Command{Kind: ledger.KindAcceptJob, Job: spec})
 }
 
 func (s *script) jobs(p string) {
-	placing := ledger.Placing{
-		Guess: plan.Span{Duration: time.Second}, NearRack: "r1", SameRack: true, PerWorker: 3, Progress: true,
-		Copies: true,
+	placing := ledger.Placement{
+		ExpectedRunTime: plan.Duration{Duration: time.Second}, PreferredRack: "r1", SameRack: true, MaxPerWorker: 3, Checkpointed: true,
+		AllowsDuplicates: true,
 	}
-	room := ledger.Room{Slots: 1, Cores: 2, MemoryMB: 3, Accelerators: 1}
+	room := ledger.Resources{Slots: 1, Cores: 2, MemoryMB: 3, Accelerators: 1}
 	all := ledger.TaskSpec{
-		ID: "whole", After: []string{"first"}, Room: room, Labels: []string{"ssd"}, Gang: "g",
-		RunLimit: plan.Span{Duration: 9 * time.Second}, AllowedDefects: 5, Silence: "hold",
-		Payload: json.RawMessage(`{"task":1}`), Placing: placing,
+		ID: "whole", DependsOn: []string{"first"}, Resources: room, Labels: []string{"ssd"}, Gang: "g",
+		RunLimit: plan.Duration{Duration: 9 * time.Second}, MaxFailures: 5, LostWorkerPolicy: "hold",
+		Payload: json.RawMessage(`{"task":1}`), Placement: placing,
 	}
-	lasting := ledger.TaskSpec{ID: "lasting", Room: room, Placing: ledger.Placing{Lasting: true}}
+	lasting := ledger.TaskSpec{ID: "lasting", Resources: room, Placement: ledger.Placement{LongRunning: true}}
 	s.accept(ledger.JobSpec{
-		ID: p + "tasks", Service: "tickets", Class: "batch", Cutoff: plan.Span{Duration: time.Hour},
+		ID: p + "tasks", Service: "tickets", Class: "batch", Deadline: plan.Duration{Duration: time.Hour},
 		Payload: json.RawMessage(`{"job":[1,"two"]}`),
-		Tasks:   []ledger.TaskSpec{{ID: "first", Room: room}, all, lasting},
+		Tasks:   []ledger.TaskSpec{{ID: "first", Resources: room}, all, lasting},
 	})
 	s.accept(ledger.JobSpec{
 		ID: p + "steps", Host: "tickets.example", Path: "/quick/2",
 		Steps: []ledger.StepSpec{
-			{Count: 2, Room: room, Labels: []string{"ssd"}, Gang: true, AllowedDefects: 2, Placing: placing},
-			{Count: 1, After: []int{0}, Room: room, Placing: ledger.Placing{Lasting: true}},
+			{Count: 2, Resources: room, Labels: []string{"ssd"}, Gang: true, MaxFailures: 2, Placement: placing},
+			{Count: 1, DependsOn: []int{0}, Resources: room, Placement: ledger.Placement{LongRunning: true}},
 		},
 		Repeat: ledger.Repeat{
-			Count: 2, FirstAt: wallStart.Add(time.Second), Every: plan.Span{Duration: time.Hour},
+			Count: 2, FirstAt: wallStart.Add(time.Second), Every: plan.Duration{Duration: time.Hour},
 		},
 	})
 	var many []ledger.TaskSpec
 	for _, id := range []string{"t0", "t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8", "t9"} {
-		many = append(many, ledger.TaskSpec{ID: id, Room: room, Placing: ledger.Placing{Progress: true}})
+		many = append(many, ledger.TaskSpec{ID: id, Resources: room, Placement: ledger.Placement{Checkpointed: true}})
 	}
 	s.accept(ledger.JobSpec{ID: p + "many", Service: "tickets", Class: "batch", Tasks: many})
 	s.accept(ledger.JobSpec{
@@ -152,8 +154,8 @@
 	})
 	s.accept(ledger.JobSpec{
 		ID: p + "large", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{
-			{ID: "a", Room: ledger.Room{Slots: 8}}, {ID: "b", Room: ledger.Room{Slots: 8}},
-			{ID: "c", Room: ledger.Room{Slots: 8}},
+			{ID: "a", Resources: ledger.Resources{Slots: 8}}, {ID: "b", Resources: ledger.Resources{Slots: 8}},
+			{ID: "c", Resources: ledger.Resources{Slots: 8}},
 		},
 	})
 	s.must(ledger.Command{Kind: ledger.KindTick})
@@ -161,14 +163,14 @@
 
 // grant gives a task, or more of one gang, to a worker.
 func (s *script) grant(p, job, worker string, tasks ...string) {
-	s.must(ledger.Command{Kind: ledger.KindGrant, Grant: s.picks(p, job, worker, tasks...)})
+	s.must(ledger.Command{Kind: ledger.KindGrantLeases, Grant: s.picks(p, job, worker, tasks...)})
 }
 
 func (s *script) picks(p, job, worker string, tasks ...string) ledger.Grant {
-	g := ledger.Grant{Duty: "dispatch/" + p, Epoch: 3}
+	g := ledger.Grant{Leadership: "dispatch/" + p, Epoch: 3}
 	for _, task := range tasks {
 		beat := s.beats[p+worker].Number
-		g.Picks = append(g.Picks, ledger.Pick{Job: p + job, Task: task, Worker: p + worker, Beat: beat})
+		g.Assignments = append(g.Assignments, ledger.Assignment{Job: p + job, Task: task, Worker: p + worker, HeartbeatNumber: beat})
 	}
 	return g
 }
@@ -176,35 +178,35 @@
 // turns has tasks run, end in every way, save progress and be told to stop.
 func (s *script) turns(p string) {
 	w1 := p + "w1"
-	try := func(task string) ledger.Attempt { return ledger.Attempt{Job: p + "many", Task: task, Try: 1} }
+	try := func(task string) ledger.Attempt { return ledger.Attempt{Job: p + "many", Task: task, Number: 1} }
 	var running []ledger.Attempt
 	for _, task := range []string{"t0", "t1", "t2", "t3", "t4"} {
 		s.grant(p, "many", "w1", task)
 		running = append(running, try(task))
 	}
-	s.beat(w1, func(b *ledger.Beat) { b.Running, b.Free.Slots = running, 3 })
-	s.beat(w1, func(b *ledger.Beat) {
-		b.Progress = []ledger.Progress{{Attempt: try("t4"), Saved: "part 1", Percent: 40}}
-		b.Ended = []ledger.End{
-			{Attempt: try("t0"), Good: true}, {Attempt: try("t1"), Why: "exit 1", Saved: "part 2", Percent: 60},
+	s.beat(w1, func(b *ledger.Heartbeat) { b.Running, b.Free.Slots = running, 3 })
+	s.beat(w1, func(b *ledger.Heartbeat) {
+		b.Progress = []ledger.Progress{{Attempt: try("t4"), Checkpoint: "part 1", Percent: 40}}
+		b.Ended = []ledger.AttemptResult{
+			{Attempt: try("t0"), Succeeded: true}, {Attempt: try("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
 			{Attempt: try("t2"), Lost: true}, {Attempt: try("t3"), Stopped: true},
 		}
 		b.Running, b.Free.Slots = running[4:], 7
 	})
 	s.grant(p, "many", "w1", "t5")
-	s.beat(w1, func(b *ledger.Beat) { b.Running = append(b.Running, try("t5")) })
-	s.beat(w1, func(b *ledger.Beat) {
-		b.Reduced, b.Running, b.Unlisted = true, nil, []ledger.Attempt{try("t5")}
-		b.Site, b.Rack, b.Service, b.Labels, b.Address = "", "", "", nil, ""
+	s.beat(w1, func(b *ledger.Heartbeat) { b.Running = append(b.Running, try("t5")) })
+	s.beat(w1, func(b *ledger.Heartbeat) {
+		b.Delta, b.Running, b.NotRunning = true, nil, []ledger.Attempt{try("t5")}
+		b.Zone, b.Rack, b.Service, b.Labels, b.Address = "", "", "", nil, ""
 	})
-	s.must(ledger.Command{Kind: ledger.KindRenew, Renew: []ledger.Renewal{
-		{Worker: w1, Incarnation: 5, Number: 9, Ago: 20 * time.Millisecond},
-		{Worker: p + "w2", Incarnation: 5, Number: 2, Ago: 30 * time.Millisecond},
+	s.must(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
+		{Worker: w1, Incarnation: 5, Number: 9, Age: 20 * time.Millisecond},
+		{Worker: p + "w2", Incarnation: 5, Number: 2, Age: 30 * time.Millisecond},
 	}})
 	s.grant(p, "steps", "w5", "0.0.0", "0.0.1")
-	s.beat(p+"w5", func(b *ledger.Beat) {
+	s.beat(p+"w5", func(b *ledger.Heartbeat) {
 		for _, task := range []string{"0.0.0", "0.0.1"} {
-			b.Running = append(b.Running, ledger.Attempt{Job: p + "steps", Task: task, Try: 1})
+			b.Running = append(b.Running, ledger.Attempt{Job: p + "steps", Task: task, Number: 1})
 		}
 		b.Free.Slots = 6
 	})
@@ -217,44 +219,44 @@
 	s.grant(p, "large", "w3", "b")
 	s.grant(p, "large", "w6", "c")
 	g := s.picks(p, "large", "w6", "c")
-	g.For = ledger.Pick{Job: p + "steps", Task: "0.1.0", Worker: p + "w6", Beat: 1}
-	s.must(ledger.Command{Kind: ledger.KindPushOut, Grant: g})
-	s.beat(p+"w2", func(b *ledger.Beat) {
+	g.PreemptFor = ledger.Assignment{Job: p + "steps", Task: "0.1.0", Worker: p + "w6", HeartbeatNumber: 1}
+	s.must(ledger.Command{Kind: ledger.KindPreempt, Grant: g})
+	s.beat(p+"w2", func(b *ledger.Heartbeat) {
 		b.Free.Slots = 0
-		b.Running = []ledger.Attempt{{Job: p + "large", Task: "a", Try: 1}}
+		b.Running = []ledger.Attempt{{Job: p + "large", Task: "a", Number: 1}}
 	})
-	s.beat(p+"w3", func(b *ledger.Beat) { b.Running = []ledger.Attempt{{Job: p + "many", Task: "t4", Try: 1}} })
+	s.beat(p+"w3", func(b *ledger.Heartbeat) { b.Running = []ledger.Attempt{{Job: p + "many", Task: "t4", Number: 1}} })
 }
 
 // operators sends each operator's write, with and without a token.
 func (s *script) operators(p string) {
 	s.grant(p, "cancelled", "w1", "t")
-	s.must(ledger.Command{Kind: ledger.KindCancel, Name: p + "cancelled"})
-	s.must(ledger.Command{Kind: ledger.KindDrain, Name: p + "w3", On: true, Token: p + "drain"})
+	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: p + "cancelled"})
+	s.must(ledger.Command{Kind: ledger.KindDrainWorker, Name: p + "w3", Drain: true, IdempotencyKey: p + "drain"})
 	now := s.primary().keeper.Time(s.time())
 	s.must(ledger.Command{
-		Kind: ledger.KindSite, Name: "b", On: true, Token: p + "site", Asked: now, MaxAge: time.Minute, Proven: 1 << 20,
+		Kind: ledger.KindDrainZone, Name: "b", Drain: true, IdempotencyKey: p + "site", RequestedAt: now, MaxAge: time.Minute, ConfirmedIndex: 1 << 20,
 	})
-	s.refused(ledger.Command{Kind: ledger.KindPlan, Token: p + "bad", Asked: now, Plan: ledger.PlanChange{
+	s.refused(ledger.Command{Kind: ledger.KindChangeConfig, IdempotencyKey: p + "bad", RequestedAt: now, ConfigChange: ledger.ConfigChange{
 		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":{"lease":"1s"}}`),
 	}})
-	base := s.primary().keeper.Ledger().Plan().Sequence
-	s.must(ledger.Command{Kind: ledger.KindPlan, Token: p + "good", Asked: now, Plan: ledger.PlanChange{
-		Base: base, Patch: true, Body: json.RawMessage(`{"limits":{"endsAtCutoff":true}}`),
+	base := s.primary().keeper.Store().Config().Version
+	s.must(ledger.Command{Kind: ledger.KindChangeConfig, IdempotencyKey: p + "good", RequestedAt: now, ConfigChange: ledger.ConfigChange{
+		BaseVersion: base, Patch: true, Body: json.RawMessage(`{"limits":{"endsAtCutoff":true}}`),
 	}})
 }
 
 // late is what needs time to pass: a worker that went silent, and one that came
 // back as another process while its turn is held.
 func (s *script) late(p string) {
-	s.beat(p+"w2", func(b *ledger.Beat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
+	s.beat(p+"w2", func(b *ledger.Heartbeat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
 	s.pass(3500 * time.Millisecond)
-	s.must(ledger.Command{Kind: ledger.KindGone, Name: p + "w4", Token: p + "gone"})
+	s.must(ledger.Command{Kind: ledger.KindConfirmWorkerDead, Name: p + "w4", IdempotencyKey: p + "gone"})
 	for _, name := range []string{"s1", "s2", "s3"} {
-		s.hello(ledger.Hello{Daemon: name, Site: "a"})
+		s.hello(ledger.SchedulerHeartbeat{Scheduler: name, Zone: "a"})
 	}
 	s.accept(ledger.JobSpec{ID: p + "ended", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
-	s.must(ledger.Command{Kind: ledger.KindCancel, Name: p + "ended"})
+	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: p + "ended"})
 	s.must(ledger.Command{Kind: ledger.KindTick})
 }
 
--- a/daemon/compatibility/state_test.go
+++ b/daemon/compatibility/state_test.go
@@ -30,8 +30,8 @@
 
 // opened is a data folder as a keeper that starts finds it.
 type opened struct {
-	stored machine.Stored
-	keeper *keeper.Keeper
+	stored machine.StoredState
+	keeper *keeper.Replica
 }
 
 // open starts a keeper from a copy of a data folder.
@@ -49,9 +49,9 @@
 	return opened{stored, start(t, stored)}
 }
 
-func start(t *testing.T, stored machine.Stored) *keeper.Keeper {
+func start(t *testing.T, stored machine.StoredState) *keeper.Replica {
 	t.Helper()
-	k, err := keeper.New(keeper.Env{FreshID: "fresh", Boot: 1, Copies: 1}, stored)
+	k, err := keeper.New(keeper.Config{NewID: "fresh", BootID: 1, BackupCount: 1}, stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,26 +68,26 @@
 }
 
 // drive steps a keeper with an input and has its writes done. It gives all output.
-func drive(k *keeper.Keeper, now time.Duration, in machine.Input) machine.Output {
+func drive(k *keeper.Replica, now time.Duration, in machine.Input) machine.Output {
 	out := k.Step(now, in)
 	for i := 0; i < len(out.Writes); i++ {
-		more := k.Step(now, machine.Input{Wrote: out.Writes[i].Done})
-		out.Writes, out.Sends = append(out.Writes, more.Writes...), append(out.Sends, more.Sends...)
+		more := k.Step(now, machine.Input{CompletedWrite: out.Writes[i].ID})
+		out.Writes, out.Messages = append(out.Writes, more.Writes...), append(out.Messages, more.Messages...)
 	}
 	return out
 }
 
 func lineOf(kind string, body any) machine.Input {
-	return machine.Input{Line: machine.Line{
-		Wire: machine.WireSequence, Kind: kind, From: "a", Body: machine.MustMarshal(body),
+	return machine.Input{Message: machine.Message{
+		Version: machine.ProtocolVersion, Kind: kind, From: "a", Body: machine.MustMarshal(body),
 	}}
 }
 
 // registerOf asks for a vote that is not given, after which the keeper writes its
 // register as it is.
-func registerOf(t *testing.T, k *keeper.Keeper) json.RawMessage {
+func registerOf(t *testing.T, k *keeper.Replica) json.RawMessage {
 	t.Helper()
-	out := drive(k, stride, lineOf(wire.Prepare, wire.RegisterBody{To: k.ID(), From: wire.Seat{ID: "asker"}}))
+	out := drive(k, stride, lineOf(wire.KindPrepare, wire.PaxosMessage{To: k.ID(), From: wire.Member{ID: "asker"}}))
 	for _, w := range out.Writes {
 		for _, r := range w.Records {
 			if r.Bucket == ownBucket && r.Key == "register" {
@@ -101,22 +101,22 @@
 
 // stands says whether the keeper acknowledges a line with the word that it wants to
 // lead the next view.
-func stands(t *testing.T, k *keeper.Keeper) bool {
+func stands(t *testing.T, k *keeper.Replica) bool {
 	t.Helper()
 	view := k.View()
-	out := drive(k, stride, lineOf(wire.Replicate, wire.ReplicateBody{
-		Boot: view.Boot, View: view, From: view.Primary, Token: 1, After: k.Ledger().Position(),
+	out := drive(k, stride, lineOf(wire.KindReplicate, wire.ReplicateRequest{
+		BootID: view.BootID, View: view, From: view.Primary, SendID: 1, Previous: k.Store().Position(),
 	}))
-	for _, s := range out.Sends {
-		if ack, ok := s.Body.(wire.ReplicateAckBody); ok {
-			return ack.Stands
+	for _, s := range out.Messages {
+		if ack, ok := s.Body.(wire.ReplicateAck); ok {
+			return ack.Candidate
 		}
 	}
 	return false
 }
 
 // founders gives the addresses that a keeper asks for a view as long as it knows none.
-func founders(t *testing.T, stored machine.Stored) []string {
+func founders(t *testing.T, stored machine.StoredState) []string {
 	t.Helper()
 	var own []machine.Record
 	for _, r := range stored.Records {
@@ -124,11 +124,11 @@
 			own = append(own, r)
 		}
 	}
-	k := start(t, machine.Stored{Records: own})
+	k := start(t, machine.StoredState{Records: own})
 	asked := []string{}
 	for now := stride; now < 5*time.Second; now += 100 * stride {
-		for _, s := range drive(k, now, machine.Input{}).Sends {
-			if s.Kind == wire.Found && !slices.Contains(asked, s.To) {
+		for _, s := range drive(k, now, machine.Input{}).Messages {
+			if s.Kind == wire.KindBootstrapProbe && !slices.Contains(asked, s.To) {
 				asked = append(asked, s.To)
 			}
 		}
--- a/daemon/env/env.go
+++ b/daemon/env/env.go
@@ -19,45 +19,45 @@
 )
 
 var (
-	namespace = errorx.NewNamespace("env")
-	Bad       = namespace.NewType("bad")
+	namespace  = errorx.NewNamespace("env")
+	ErrInvalid = namespace.NewType("bad")
 )
 
 // Release is the program's version; builds may set it by -ldflags.
 var Release = "0.1.0"
 
 // Env is what every daemon needs to know of its place.
-type Env struct {
-	Address  string
-	Listen   string
-	HTTP     string
-	Site     string
-	Seeds    []string
-	Founders []string
-	Data     string
-	Audit    bool
+type Settings struct {
+	Address       string
+	ListenAddress string
+	HTTPAddress   string
+	Zone          string
+	Seeds         []string
+	Founders      []string
+	DataDir       string
+	AuditEnabled  bool
 }
 
-var ErrShown = errors.New("shown")
+var ErrInfoPrinted = errors.New("shown")
 
-var siteShape = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+var zonePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // Parse reads the settings of one daemon. Keepers alone have a data folder.
-func Parse(program string, keeper bool, args []string) (Env, error) {
-	var e Env
+func Parse(program string, keeper bool, args []string) (Settings, error) {
+	var e Settings
 	var seeds, founders string
 	var version bool
 	fs := flag.NewFlagSet(program, flag.ContinueOnError)
 	fs.StringVar(&e.Address, "address", "", "IP:port where other daemons reach this one (needed)")
-	fs.StringVar(&e.Listen, "listen", "", "IP:port to listen on, where that differs from -address")
-	fs.StringVar(&e.HTTP, "http", "", "IP:port for HTTP: health and metrics, and on a front the API (needed)")
-	fs.StringVar(&e.Site, "site", "", "name of the site this machine stands in (needed)")
+	fs.StringVar(&e.ListenAddress, "listen", "", "IP:port to listen on, where that differs from -address")
+	fs.StringVar(&e.HTTPAddress, "http", "", "IP:port for HTTP: health and metrics, and on a front the API (needed)")
+	fs.StringVar(&e.Zone, "site", "", "name of the site this machine stands in (needed)")
 	fs.StringVar(&seeds, "seeds", "", "comma-separated IP:port of up to three daemons to begin from")
 	fs.BoolVar(&version, "version", false, "print the version and end")
 	fs.String("settings", "", "settings file with one 'name value' a line")
 	if keeper {
-		fs.StringVar(&e.Data, "data", "", "folder for the data file (needed)")
-		fs.BoolVar(&e.Audit, "audit", true, "write the audit log into the data folder")
+		fs.StringVar(&e.DataDir, "data", "", "folder for the data file (needed)")
+		fs.BoolVar(&e.AuditEnabled, "audit", true, "write the audit log into the data folder")
 		fs.StringVar(&founders, "founders", "", "comma-separated IP:port of the three keepers that found the cluster")
 	}
 	fs.Usage = func() {
@@ -69,15 +69,15 @@
 		ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.PlainParser))
 	if err != nil {
 		if errors.Is(err, flag.ErrHelp) {
-			return Env{}, ErrShown
+			return Settings{}, ErrInfoPrinted
 		}
-		return Env{}, Bad.New("%s: %v", program, err)
+		return Settings{}, ErrInvalid.New("%s: %v", program, err)
 	}
 	if version {
 		fmt.Println(Version(program))
-		return Env{}, ErrShown
+		return Settings{}, ErrInfoPrinted
 	}
-	e.Seeds, e.Founders = split(seeds), split(founders)
+	e.Seeds, e.Founders = splitList(seeds), splitList(founders)
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	check := func(name, value string) {
@@ -88,15 +88,15 @@
 		}
 	}
 	check("address", e.Address)
-	check("http", e.HTTP)
-	if e.Listen == "" {
-		e.Listen = e.Address
+	check("http", e.HTTPAddress)
+	if e.ListenAddress == "" {
+		e.ListenAddress = e.Address
 	}
-	if at, err := netip.ParseAddrPort(e.Listen); err != nil && e.Listen != e.Address || err == nil && at.Port() == 0 {
-		fault("-listen: %q is not an IP:port", e.Listen)
+	if at, err := netip.ParseAddrPort(e.ListenAddress); err != nil && e.ListenAddress != e.Address || err == nil && at.Port() == 0 {
+		fault("-listen: %q is not an IP:port", e.ListenAddress)
 	}
-	if !siteShape.MatchString(e.Site) {
-		fault("-site: %q must match %s", e.Site, siteShape)
+	if !zonePattern.MatchString(e.Zone) {
+		fault("-site: %q must match %s", e.Zone, zonePattern)
 	}
 	for _, s := range e.Seeds {
 		check("seeds", s)
@@ -107,7 +107,7 @@
 	if len(e.Seeds) > 3 {
 		fault("-seeds: at most three, not %d", len(e.Seeds))
 	}
-	if keeper && e.Data == "" {
+	if keeper && e.DataDir == "" {
 		fault("-data: a keeper needs a folder")
 	}
 	if n := len(e.Founders); n != 0 && n != 3 {
@@ -117,7 +117,7 @@
 		fault("unexpected words: %s", strings.Join(fs.Args(), " "))
 	}
 	if len(faults) > 0 {
-		return Env{}, Bad.New("%s: %d faults in the settings:\n  %s", program, len(faults), strings.Join(faults, "\n  "))
+		return Settings{}, ErrInvalid.New("%s: %d faults in the settings:\n  %s", program, len(faults), strings.Join(faults, "\n  "))
 	}
 	return e, nil
 }
@@ -135,7 +135,7 @@
 	return program + " " + Release + revision
 }
 
-func split(text string) []string {
+func splitList(text string) []string {
 	var out []string
 	for _, part := range strings.Split(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
--- a/daemon/env/env_test.go
+++ b/daemon/env/env_test.go
@@ -49,18 +49,18 @@
 		t.Fatal(err)
 	}
 	e, err := Parse("test", false, []string{"-settings", file})
-	if err != nil || e.Site != "fromfile" {
+	if err != nil || e.Zone != "fromfile" {
 		t.Errorf("file: %+v %v", e, err)
 	}
 	t.Setenv("SORRELLOOM_SITE", "fromenv")
-	if e, err = Parse("test", false, []string{"-settings", file}); err != nil || e.Site != "fromenv" {
+	if e, err = Parse("test", false, []string{"-settings", file}); err != nil || e.Zone != "fromenv" {
 		t.Errorf("environment over file: %+v %v", e, err)
 	}
 	e, err = Parse("test", false, []string{"-settings", file, "-site", "fromflag"})
-	if err != nil || e.Site != "fromflag" {
+	if err != nil || e.Zone != "fromflag" {
 		t.Errorf("flag over both: %+v %v", e, err)
 	}
-	if _, err = Parse("test", false, []string{"-version"}); !errors.Is(err, ErrShown) {
+	if _, err = Parse("test", false, []string{"-version"}); !errors.Is(err, ErrInfoPrinted) {
 		t.Errorf("version: %v", err)
 	}
 }
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -17,87 +17,87 @@
 )
 
 // Fatal is told of a write that failed.
-type Fatal func(err error)
+type WriteErrorHandler func(err error)
 
 const (
 	// writesMax is how many batches may wait for the disk before a step waits for it.
-	writesMax = 64
+	maxPendingWrites = 64
 	// wakeupMin keeps a machine that always wants to be woken from being all that runs.
-	wakeupMin = time.Millisecond
+	minTimerInterval = time.Millisecond
 	// idleWait is how long the host sleeps when no machine wants to be woken.
-	idleWait = time.Hour
+	idleTimeout = time.Hour
 )
 
 type Host struct {
-	address   string
-	listen    string
-	started   time.Time
-	inbox     *transport.Inbox
-	counters  *transport.Counters
-	transport *transport.Transport
-	store     *store.Store
-	fatal     Fatal
-	Audit     func(machine.Audit)
-	shards    []*Shard
-	stopped   chan struct{}
-	once      sync.Once
-	closed    chan struct{}
+	address      string
+	listen       string
+	started      time.Time
+	receiveQueue *transport.ReceiveQueue
+	counters     *transport.Counters
+	transport    *transport.Transport
+	store        *store.Store
+	onWriteError WriteErrorHandler
+	OnAuditEntry func(machine.AuditEntry)
+	runners      []*Runner
+	stopped      chan struct{}
+	stopOnce     sync.Once
+	closed       chan struct{}
 
-	mu      sync.Mutex
-	next    uint64
-	waiters map[uint64]chan any
+	mu            sync.Mutex
+	lastRequestID uint64
+	pending       map[uint64]chan any
 }
 
-type Shard struct {
+type Runner struct {
 	host    *Host
 	machine machine.Machine
 	kinds   map[string]bool
 	writes  chan machine.Write
 	// wakeAt is when the machine wants its next step; only the stepping goroutine uses it.
-	wakeAt time.Duration
-	mu     sync.Mutex
+	timerAt time.Duration
+	mu      sync.Mutex
 }
 
 // New makes a host without machines; Add brings them in, Run starts them.
-func New(address, listen string, s *store.Store, fatal Fatal) *Host {
+func New(address, listen string, s *store.Store, fatal WriteErrorHandler) *Host {
 	h := &Host{
-		address: address, listen: listen, started: time.Now(), store: s, fatal: fatal, counters: transport.NewCounters(),
-		stopped: make(chan struct{}), closed: make(chan struct{}), waiters: map[uint64]chan any{},
+		address: address, listen: listen, started: time.Now(), store: s, onWriteError: fatal, counters: transport.NewCounters(),
+		stopped: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan any{},
 	}
-	h.inbox = transport.NewInbox(h.Now, h.counters)
+	h.receiveQueue = transport.NewReceiveQueue(h.Now, h.counters)
 	return h
 }
 
 // Add brings a machine in. With kinds it takes these lines only; without, all
 // that no other takes.
-func (h *Host) Add(m machine.Machine, kinds ...string) *Shard {
-	s := &Shard{host: h, machine: m, kinds: map[string]bool{}, writes: make(chan machine.Write, writesMax)}
+func (h *Host) Add(m machine.Machine, kinds ...string) *Runner {
+	s := &Runner{host: h, machine: m, kinds: map[string]bool{}, writes: make(chan machine.Write, maxPendingWrites)}
 	for _, kind := range kinds {
 		s.kinds[kind] = true
 	}
-	h.shards = append(h.shards, s)
+	h.runners = append(h.runners, s)
 	return s
 }
 
 // Run listens, and steps every machine for the first time before it returns.
 func (h *Host) Run() error {
-	t, err := transport.Open(h.listen, h.Now, h.inbox, h.counters)
+	t, err := transport.Open(h.listen, h.Now, h.receiveQueue, h.counters)
 	if err != nil {
 		return err
 	}
 	h.transport = t
 	begun := make(chan struct{})
 	pool.Go(func() {
-		for _, s := range h.shards {
+		for _, s := range h.runners {
 			s.step(machine.Input{})
 		}
 		close(begun)
-		h.loop()
+		h.eventLoop()
 	})
 	<-begun
 	if h.store != nil {
-		for _, s := range h.shards {
-			pool.Go(s.writeAll)
+		for _, s := range h.runners {
+			pool.Go(s.writeLoop)
 		}
 	}
 	return nil
@@ -106,43 +106,43 @@
 func (h *Host) Now() time.Duration { return time.Since(h.started) }
 
 // loop steps the machines until the host is closed.
-func (h *Host) loop() {
+func (h *Host) eventLoop() {
 	for !isClosed(h.closed) {
-		if line, ok := h.inbox.TakeMember(); ok {
-			h.deliver(line)
+		if message, ok := h.receiveQueue.DequeueCluster(); ok {
+			h.deliver(message)
 			continue
 		}
-		item, ok := h.inbox.Take(h.wake())
+		item, ok := h.receiveQueue.Dequeue(h.fireTimers())
 		switch {
 		case !ok:
 		case item.Call != nil:
 			item.Call()
 		default:
-			h.deliver(item.Line)
+			h.deliver(item.Message)
 		}
 	}
 }
 
 // wake steps the machines whose wakeup is due, and says how long there is until the next.
-func (h *Host) wake() time.Duration {
+func (h *Host) fireTimers() time.Duration {
 	now := h.Now()
-	next := now + idleWait
-	for _, s := range h.shards {
-		if s.wakeAt > 0 && now >= s.wakeAt {
+	next := now + idleTimeout
+	for _, s := range h.runners {
+		if s.timerAt > 0 && now >= s.timerAt {
 			s.step(machine.Input{})
 		}
-		if s.wakeAt > 0 {
-			next = min(next, s.wakeAt)
+		if s.timerAt > 0 {
+			next = min(next, s.timerAt)
 		}
 	}
 	return next - now
 }
 
-func (h *Host) deliver(line machine.Line) {
-	var rest *Shard
-	for _, s := range h.shards {
-		if s.kinds[line.Kind] {
-			s.step(machine.Input{Line: line})
+func (h *Host) deliver(message machine.Message) {
+	var rest *Runner
+	for _, s := range h.runners {
+		if s.kinds[message.Kind] {
+			s.step(machine.Input{Message: message})
 			return
 		}
 		if len(s.kinds) == 0 {
@@ -150,7 +150,7 @@
 		}
 	}
 	if rest != nil {
-		rest.step(machine.Input{Line: line})
+		rest.step(machine.Input{Message: message})
 	}
 }
 
@@ -160,7 +160,7 @@
 // Close ends the host. It may be called once.
 func (h *Host) Close() {
 	close(h.closed)
-	h.inbox.Close()
+	h.receiveQueue.Close()
 	if h.transport != nil {
 		h.transport.Close()
 	}
@@ -170,9 +170,9 @@
 }
 
 // Step gives the machine one input, and returns when what it returned is done.
-func (s *Shard) Step(in machine.Input) {
+func (s *Runner) Step(in machine.Input) {
 	done := make(chan struct{})
-	if !s.host.inbox.Call(func() { s.step(in); close(done) }) {
+	if !s.host.receiveQueue.EnqueueCall(func() { s.step(in); close(done) }) {
 		return
 	}
 	select {
@@ -182,93 +182,93 @@
 }
 
 // step gives the machine one input and does what it returns.
-func (s *Shard) step(in machine.Input) {
+func (s *Runner) step(in machine.Input) {
 	s.mu.Lock()
 	now := s.host.Now()
-	in.Wall = time.Now()
+	in.WallTime = time.Now()
 	out := s.machine.Step(now, in)
-	for _, e := range out.Events {
-		logline.Event(e.Name, e.Fields...)
+	for _, e := range out.LogEvents {
+		logline.Info(e.Name, e.Fields...)
 	}
-	for _, send := range out.Sends {
+	for _, send := range out.Messages {
 		s.send(send)
 	}
 	for _, w := range out.Writes {
 		s.writes <- w
 	}
-	for _, a := range out.Audits {
-		if s.host.Audit != nil {
-			s.host.Audit(a)
+	for _, a := range out.AuditEntries {
+		if s.host.OnAuditEntry != nil {
+			s.host.OnAuditEntry(a)
 		}
 	}
-	if s.wakeAt = s.machine.Wakeup(); s.wakeAt > 0 {
-		s.wakeAt = max(s.wakeAt, now+wakeupMin)
+	if s.timerAt = s.machine.NextTimer(); s.timerAt > 0 {
+		s.timerAt = max(s.timerAt, now+minTimerInterval)
 	}
 	s.mu.Unlock()
-	for _, a := range out.Answers {
-		s.host.answer(a)
+	for _, a := range out.Responses {
+		s.host.respond(a)
 	}
 	if out.Stopped {
-		s.host.once.Do(func() { close(s.host.stopped) })
+		s.host.stopOnce.Do(func() { close(s.host.stopped) })
 	}
 }
 
 // Look runs f while the machine stands still, to read from it.
-func (s *Shard) Look(f func()) {
+func (s *Runner) Inspect(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
 }
 
-func (s *Shard) send(send machine.Send) {
+func (s *Runner) send(send machine.OutgoingMessage) {
 	body, err := send.Encode()
 	if err != nil {
-		logline.Event("line_unsendable", "kind", send.Kind, "why", err.Error())
+		logline.Info("line_unsendable", "kind", send.Kind, "why", err.Error())
 		return
 	}
-	line := machine.Line{Wire: machine.WireSequence, Kind: send.Kind, From: s.host.address, Key: send.Key(), Body: body}
+	message := machine.Message{Version: machine.ProtocolVersion, Kind: send.Kind, From: s.host.address, CoalescingKey: send.CoalescingKey(), Body: body}
 	if send.To == "" || send.To == s.host.address {
-		s.host.inbox.Put(line)
+		s.host.receiveQueue.Enqueue(message)
 		return
 	}
-	s.host.transport.Send(send.To, line)
+	s.host.transport.Send(send.To, message)
 }
 
-func (s *Shard) writeAll() {
+func (s *Runner) writeLoop() {
 	for {
 		select {
 		case <-s.host.closed:
 			return
 		case w := <-s.writes:
 			if err := s.host.store.Write(w); err != nil {
-				s.host.fatal(err)
+				s.host.onWriteError(err)
 				return
 			}
 			due := s.host.store.SnapshotDue()
-			s.host.inbox.Call(func() { s.step(machine.Input{Wrote: w.Done, SnapshotDue: due}) })
+			s.host.receiveQueue.EnqueueCall(func() { s.step(machine.Input{CompletedWrite: w.ID, SnapshotDue: due}) })
 		}
 	}
 }
 
 // Ask hands a request to the machine and waits for its answer.
-func (s *Shard) Ask(ctx context.Context, ask machine.Ask) (any, bool) {
+func (s *Runner) Do(ctx context.Context, request machine.Request) (any, bool) {
 	h := s.host
 	h.mu.Lock()
-	h.next++
-	ask.Key = h.next
-	wait := make(chan any, 1)
-	h.waiters[ask.Key] = wait
+	h.lastRequestID++
+	request.ID = h.lastRequestID
+	response := make(chan any, 1)
+	h.pending[request.ID] = response
 	h.mu.Unlock()
 	defer func() {
 		h.mu.Lock()
-		delete(h.waiters, ask.Key)
+		delete(h.pending, request.ID)
 		h.mu.Unlock()
 	}()
-	if !h.inbox.Call(func() { s.step(machine.Input{Ask: ask}) }) {
+	if !h.receiveQueue.EnqueueCall(func() { s.step(machine.Input{Request: request}) }) {
 		return nil, false
 	}
 	select {
-	case v := <-wait:
+	case v := <-response:
 		return v, true
 	case <-ctx.Done():
 		return nil, false
@@ -277,9 +277,9 @@
 	}
 }
 
-func (h *Host) answer(a machine.Answer) {
+func (h *Host) respond(a machine.Response) {
 	h.mu.Lock()
-	wait, ok := h.waiters[a.Key]
+	wait, ok := h.pending[a.RequestID]
 	h.mu.Unlock()
 	if !ok {
 		return
--- a/daemon/host/host_test.go
+++ b/daemon/host/host_test.go
@@ -19,14 +19,14 @@
 	do     func(now time.Duration, in machine.Input) machine.Output
 }
 
-func (r *recorder) Wakeup() time.Duration { return r.wakeAt }
+func (r *recorder) NextTimer() time.Duration { return r.wakeAt }
 
 func (r *recorder) Step(now time.Duration, in machine.Input) machine.Output {
 	switch {
-	case in.Line.Kind != "":
-		r.steps = append(r.steps, in.Line.Kind+" "+string(in.Line.Body))
-	case in.Ask.Key > 0:
-		r.steps = append(r.steps, "ask "+in.Ask.Name)
+	case in.Message.Kind != "":
+		r.steps = append(r.steps, in.Message.Kind+" "+string(in.Message.Body))
+	case in.Request.ID > 0:
+		r.steps = append(r.steps, "ask "+in.Request.Name)
 	}
 	if r.do != nil {
 		return r.do(now, in)
@@ -35,10 +35,10 @@
 }
 
 // start runs a host in whose inbox nothing ages.
-func start(t *testing.T, r *recorder) (*Host, *Shard) {
+func start(t *testing.T, r *recorder) (*Host, *Runner) {
 	t.Helper()
 	h := New("me", "127.0.0.1:0", nil, nil)
-	h.inbox = transport.NewInbox(func() time.Duration { return 0 }, h.counters)
+	h.receiveQueue = transport.NewReceiveQueue(func() time.Duration { return 0 }, h.counters)
 	s := h.Add(r)
 	if err := h.Run(); err != nil {
 		t.Fatal(err)
@@ -53,28 +53,28 @@
 	r := &recorder{}
 	h, s := start(t, r)
 	put := func(kind, body string) {
-		h.inbox.Put(machine.Line{Wire: machine.WireSequence, Kind: kind, From: "other", Body: []byte(body)})
+		h.receiveQueue.Enqueue(machine.Message{Version: machine.ProtocolVersion, Kind: kind, From: "other", Body: []byte(body)})
 	}
 	done := make(chan struct{})
 	r.do = func(_ time.Duration, in machine.Input) machine.Output {
 		switch {
-		case in.Ask.Name == "busy":
+		case in.Request.Name == "busy":
 			for i := range requests {
-				put(wire.Command, fmt.Sprint(i))
+				put(wire.KindCommand, fmt.Sprint(i))
 			}
-			put(wire.Beat, "report")
-			put(wire.CommandBack, "answer")
-			put(wire.Replicate, "heartbeat")
-		case in.Line.Kind == wire.Beat:
+			put(wire.KindHeartbeat, "report")
+			put(wire.KindCommandReply, "answer")
+			put(wire.KindReplicate, "heartbeat")
+		case in.Message.Kind == wire.KindHeartbeat:
 			close(done)
 		}
 		return machine.Output{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Ask(ctx, machine.Ask{Name: "busy"})
+	s.Do(ctx, machine.Request{Name: "busy"})
 	<-done
-	s.Look(func() {
+	s.Inspect(func() {
 		want := []string{"ask busy", "replicate heartbeat", "command-back answer", "command 0"}
 		if len(r.steps) < 4 || fmt.Sprint(r.steps[:4]) != fmt.Sprint(want) {
 			t.Errorf("got %q", r.steps[:4])
@@ -87,17 +87,17 @@
 
 func TestARequestIsAnsweredWithItsOwnAnswer(t *testing.T) {
 	r := &recorder{}
-	var waiting []machine.Ask
+	var waiting []machine.Request
 	r.do = func(_ time.Duration, in machine.Input) (out machine.Output) {
-		if in.Ask.Key == 0 {
+		if in.Request.ID == 0 {
 			return out
 		}
-		if waiting = append(waiting, in.Ask); len(waiting) == 3 {
-			for _, ask := range []machine.Ask{waiting[2], waiting[0], waiting[1]} {
-				out.Answer(ask.Key, "answer to "+ask.Name)
-				out.Answer(ask.Key, "one too many")
+		if waiting = append(waiting, in.Request); len(waiting) == 3 {
+			for _, ask := range []machine.Request{waiting[2], waiting[0], waiting[1]} {
+				out.Respond(ask.ID, "answer to "+ask.Name)
+				out.Respond(ask.ID, "one too many")
 			}
-			out.Answer(1000, "nobody's")
+			out.Respond(1000, "nobody's")
 		}
 		return out
 	}
@@ -105,7 +105,7 @@
 	answers := make(chan string)
 	for _, name := range []string{"a", "b", "c"} {
 		go func() {
-			got, ok := s.Ask(context.Background(), machine.Ask{Name: name})
+			got, ok := s.Do(context.Background(), machine.Request{Name: name})
 			answers <- fmt.Sprint(name, ok, got)
 		}()
 	}
@@ -141,16 +141,16 @@
 // TestWhatAMachineSendsItselfComesBack takes the frame apart as any other.
 func TestWhatAMachineSendsItselfComesBack(t *testing.T) {
 	r := &recorder{}
-	got := make(chan wire.FollowBody, 2)
+	got := make(chan wire.SubscribeRequest, 2)
 	r.do = func(_ time.Duration, in machine.Input) (out machine.Output) {
-		if in.Ask.Key > 0 {
-			out.Send("", wire.Follow, wire.FollowBody{At: ledger.Position{Sequence: 1}})
-			out.Send("me", wire.Follow, wire.FollowBody{At: ledger.Position{Sequence: 2}})
+		if in.Request.ID > 0 {
+			out.Send("", wire.KindSubscribe, wire.SubscribeRequest{Position: ledger.LogPosition{Index: 1}})
+			out.Send("me", wire.KindSubscribe, wire.SubscribeRequest{Position: ledger.LogPosition{Index: 2}})
 		}
-		if in.Line.Kind == wire.Follow {
-			var b wire.FollowBody
-			if err := machine.Unmarshal(in.Line.Body, &b); err != nil || in.Line.From != "me" {
-				t.Errorf("from %s: %v", in.Line.From, err)
+		if in.Message.Kind == wire.KindSubscribe {
+			var b wire.SubscribeRequest
+			if err := machine.Unmarshal(in.Message.Body, &b); err != nil || in.Message.From != "me" {
+				t.Errorf("from %s: %v", in.Message.From, err)
 			}
 			got <- b
 		}
@@ -159,9 +159,9 @@
 	_, s := start(t, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Ask(ctx, machine.Ask{Name: "go"})
+	s.Do(ctx, machine.Request{Name: "go"})
 	for _, want := range []uint64{1, 2} {
-		if b := <-got; b.At.Sequence != want {
+		if b := <-got; b.Position.Index != want {
 			t.Errorf("got %+v, want %d", b, want)
 		}
 	}
@@ -181,7 +181,7 @@
 		return machine.Output{}
 	}
 	go func() {
-		_, ok := s.Ask(context.Background(), machine.Ask{Name: "never answered"})
+		_, ok := s.Do(context.Background(), machine.Request{Name: "never answered"})
 		asked <- ok
 	}()
 	<-begun
@@ -190,7 +190,7 @@
 		t.Error("an answer came")
 	}
 	s.Step(machine.Input{})
-	if _, ok := s.Ask(context.Background(), machine.Ask{}); ok {
+	if _, ok := s.Do(context.Background(), machine.Request{}); ok {
 		t.Error("a closed host answers")
 	}
 }
--- a/daemon/logline/logline.go
+++ b/daemon/logline/logline.go
@@ -12,11 +12,11 @@
 	"k8s.io/klog/v2"
 )
 
-var name = "-"
+var processName = "-"
 
 // Init says whose lines these are.
 func Init(process string) {
-	name = process
+	processName = process
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for key, value := range map[string]string{"skip_headers": "true", "logtostderr": "true"} {
@@ -27,9 +27,9 @@
 }
 
 // Event writes one line; fields are keys and values in turn.
-func Event(event string, fields ...any) {
+func Info(event string, fields ...any) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "time=%s node=%s event=%s", time.Now().UTC().Format("2006-01-02T15:04:05.000Z"), name, event)
+	fmt.Fprintf(&b, "time=%s node=%s event=%s", time.Now().UTC().Format("2006-01-02T15:04:05.000Z"), processName, event)
 	for i := 0; i+1 < len(fields); i += 2 {
 		value := fmt.Sprint(fields[i+1])
 		if value == "" || strings.ContainsAny(value, " =\"\n\t") {
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -26,18 +26,18 @@
 	"sorrelloom/daemon/web"
 )
 
-const stopWait = 5 * time.Second
+const stopTimeout = 5 * time.Second
 
 // Built is what a program makes of its settings.
-type Built struct {
-	ID      string
-	Machine machine.Machine
-	Page    func(h *host.Host, s *host.Shard) web.Page
-	API     bool
+type Daemon struct {
+	ID          string
+	Machine     machine.Machine
+	Diagnostics func(h *host.Host, s *host.Runner) web.Diagnostics
+	API         bool
 }
 
 // Chance draws numbers for identities; the machines themselves draw none.
-func Chance() uint64 {
+func RandomID() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -45,16 +45,16 @@
 	return binary.LittleEndian.Uint64(b[:]) >> 1
 }
 
-func ChanceID() string {
+func RandomHexID() string {
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], Chance())
+	binary.BigEndian.PutUint64(b[:], RandomID())
 	return hex.EncodeToString(b[:])
 }
 
 // Main runs one daemon to its end and gives the exit code.
-func Main(role string, keeper bool, build func(env.Env, machine.Stored) (Built, error)) int {
+func Main(role string, keeper bool, build func(env.Settings, machine.StoredState) (Daemon, error)) int {
 	e, err := env.Parse(role, keeper, os.Args[1:])
-	if errors.Is(err, env.ErrShown) {
+	if errors.Is(err, env.ErrInfoPrinted) {
 		return 0
 	}
 	if err != nil {
@@ -64,74 +64,74 @@
 	logline.Init(role + "@" + e.Address)
 	defer logline.Flush()
 	var data *store.Store
-	var stored machine.Stored
+	var stored machine.StoredState
 	if keeper {
-		if data, stored, err = store.Open(e.Data); err != nil {
+		if data, stored, err = store.Open(e.DataDir); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 3
 		}
 	}
 	built, err := build(e, stored)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "data folder %s: %v\n", e.Data, err)
+		fmt.Fprintf(os.Stderr, "data folder %s: %v\n", e.DataDir, err)
 		return 3
 	}
 	failed := make(chan error, 1)
-	h := host.New(e.Address, e.Listen, data, func(err error) {
+	h := host.New(e.Address, e.ListenAddress, data, func(err error) {
 		select {
 		case failed <- err:
 		default:
 		}
 	})
 	main := h.Add(built.Machine)
-	if e.Audit {
+	if e.AuditEnabled {
 		// The audit must never stop scheduling: without it the keeper goes on.
-		if log, err := audit.Open(filepath.Join(e.Data, "audit"), built.ID); err != nil {
-			logline.Event("audit_failed", "why", err.Error())
+		if log, err := audit.Open(filepath.Join(e.DataDir, "audit"), built.ID); err != nil {
+			logline.Info("audit_failed", "why", err.Error())
 		} else {
-			h.Audit = func(a machine.Audit) {
-				if !log.Put(a) {
-					logline.Event("audit_dropped", "sequence", a.Sequence)
+			h.OnAuditEntry = func(a machine.AuditEntry) {
+				if !log.TryAppend(a) {
+					logline.Info("audit_dropped", "sequence", a.Index)
 				}
 			}
 			log.Run()
 		}
 	}
-	h.Add(member.New(member.Env{
-		Self:  wire.Node{ID: built.ID, Role: role, Site: e.Site, Address: e.Address, HTTP: e.HTTP, Incarnation: time.Now().UnixMilli()},
-		Seeds: e.Seeds, Seed: Chance(),
-	}), wire.Shuffle, wire.ShuffleBack)
-	server := web.New(env.MustListen(e.HTTP), built.Page(h, main))
+	h.Add(member.New(member.Config{
+		Self:  wire.Node{ID: built.ID, Role: role, Zone: e.Zone, Address: e.Address, HTTPAddress: e.HTTPAddress, Incarnation: time.Now().UnixMilli()},
+		Seeds: e.Seeds, Seed: RandomID(),
+	}), wire.KindShuffle, wire.KindShuffleReply)
+	server := web.New(env.MustListen(e.HTTPAddress), built.Diagnostics(h, main))
 	if built.API {
-		server.API(main)
+		server.ServeAPI(main)
 	}
 	if err := h.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	server.Run()
-	logline.Event("started", "version", env.Release, "site", e.Site, "http", e.HTTP, "id", built.ID)
+	logline.Info("started", "version", env.Release, "site", e.Zone, "http", e.HTTPAddress, "id", built.ID)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case err := <-failed:
-		logline.Event("store_failed", "why", err.Error())
+		logline.Info("store_failed", "why", err.Error())
 		return 4
 	case <-signals:
 	}
-	logline.Event("stopping")
+	logline.Info("stopping")
 	main.Step(machine.Input{Stop: true})
 	select {
 	case <-h.Stopped():
-	case <-time.After(stopWait):
-		logline.Event("stop_hurried", "why", "the hand-over took too long")
+	case <-time.After(stopTimeout):
+		logline.Info("stop_hurried", "why", "the hand-over took too long")
 	case err := <-failed:
-		logline.Event("store_failed", "why", err.Error())
+		logline.Info("store_failed", "why", err.Error())
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	server.Close(ctx)
 	h.Close()
-	logline.Event("stopped")
+	logline.Info("stopped")
 	return 0
 }
--- a/daemon/store/faults_test.go
+++ b/daemon/store/faults_test.go
@@ -11,10 +11,10 @@
 )
 
 // errPower is what every call gives once power is lost.
-var errPower = fmt.Errorf("power is lost")
+var errPowerLoss = fmt.Errorf("power is lost")
 
 // inode is a file's content: what was synced, and what a reader sees now.
-type inode struct{ synced, now []byte }
+type inode struct{ synced, current []byte }
 
 // nameChange is one change of a name that no folder sync has made last yet.
 type nameChange struct {
@@ -25,39 +25,39 @@
 // then has many possible disks: each name that was changed since the last sync of the
 // folder was changed on the disk or was not, and of each file all, none or a part of
 // what was written since its last sync is there.
-type faultyFiles struct {
-	names   map[string]*inode // as a reader sees them
-	durable map[string]*inode // as the last sync of the folder left them
-	changes []nameChange
-	calls   int
-	limit   int // power is lost at this call; 0 is never
+type faultyFileSystem struct {
+	names      map[string]*inode // as a reader sees them
+	durable    map[string]*inode // as the last sync of the folder left them
+	changes    []nameChange
+	calls      int
+	failAtCall int // power is lost at this call; 0 is never
 	// room is how many bytes still fit; a negative number is any.
-	room int64
+	freeBytes int64
 	// broken, where set, is the error of each sync of a file.
-	broken error
+	syncErr error
 }
 
-func newFiles() *faultyFiles {
-	return &faultyFiles{names: map[string]*inode{}, durable: map[string]*inode{}, room: -1}
+func newFaultyFileSystem() *faultyFileSystem {
+	return &faultyFileSystem{names: map[string]*inode{}, durable: map[string]*inode{}, freeBytes: -1}
 }
 
-func (f *faultyFiles) call() error {
+func (f *faultyFileSystem) call() error {
 	f.calls++
-	if f.limit > 0 && f.calls >= f.limit {
-		return errPower
+	if f.failAtCall > 0 && f.calls >= f.failAtCall {
+		return errPowerLoss
 	}
 	return nil
 }
 
-func (f *faultyFiles) change(apply func(map[string]*inode)) {
+func (f *faultyFileSystem) change(apply func(map[string]*inode)) {
 	apply(f.names)
 	f.changes = append(f.changes, nameChange{apply})
 }
 
-func (f *faultyFiles) MakeFolder(string) error        { return nil }
-func (f *faultyFiles) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
+func (f *faultyFileSystem) MakeDir(string) error           { return nil }
+func (f *faultyFileSystem) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-func (f *faultyFiles) List(string) ([]string, error) {
+func (f *faultyFileSystem) List(string) ([]string, error) {
 	var out []string
 	for path := range f.names {
 		out = append(out, filepath.Base(path))
@@ -66,20 +66,20 @@
 	return out, nil
 }
 
-func (f *faultyFiles) Read(path string) ([]byte, error) {
+func (f *faultyFileSystem) Read(path string) ([]byte, error) {
 	node, ok := f.names[path]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(node.now), nil
+	return slices.Clone(node.current), nil
 }
 
-func (f *faultyFiles) Create(path string) (file, error) {
+func (f *faultyFileSystem) Create(path string) (file, error) {
 	if err := f.call(); err != nil {
 		return nil, err
 	}
 	if node, ok := f.names[path]; ok {
-		node.now = nil
+		node.current = nil
 		return &faultyFile{f, node}, nil
 	}
 	node := &inode{}
@@ -87,7 +87,7 @@
 	return &faultyFile{f, node}, nil
 }
 
-func (f *faultyFiles) Open(path string) (file, error) {
+func (f *faultyFileSystem) Open(path string) (file, error) {
 	node, ok := f.names[path]
 	if !ok {
 		return nil, fs.ErrNotExist
@@ -95,7 +95,7 @@
 	return &faultyFile{f, node}, nil
 }
 
-func (f *faultyFiles) Rename(from, to string) error {
+func (f *faultyFileSystem) Rename(from, to string) error {
 	if err := f.call(); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 	return nil
 }
 
-func (f *faultyFiles) Remove(path string) error {
+func (f *faultyFileSystem) Remove(path string) error {
 	if err := f.call(); err != nil {
 		return err
 	}
@@ -116,14 +116,14 @@
 	if !ok {
 		return fs.ErrNotExist
 	}
-	if f.room >= 0 {
-		f.room += int64(len(node.now))
+	if f.freeBytes >= 0 {
+		f.freeBytes += int64(len(node.current))
 	}
 	f.change(func(names map[string]*inode) { delete(names, path) })
 	return nil
 }
 
-func (f *faultyFiles) SyncFolder(string) error {
+func (f *faultyFileSystem) SyncDir(string) error {
 	if err := f.call(); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 }
 
 type faultyFile struct {
-	files *faultyFiles
+	files *faultyFileSystem
 	node  *inode
 }
 
@@ -145,36 +145,36 @@
 		f.put(data[:len(data)/2], at)
 		return 0, err
 	}
-	if f.files.room >= 0 && int64(len(data)) > f.files.room {
-		n := int(f.files.room)
+	if f.files.freeBytes >= 0 && int64(len(data)) > f.files.freeBytes {
+		n := int(f.files.freeBytes)
 		f.put(data[:n], at)
-		f.files.room = 0
+		f.files.freeBytes = 0
 		return n, syscall.ENOSPC
 	}
-	if f.files.room >= 0 {
-		f.files.room -= int64(len(data))
+	if f.files.freeBytes >= 0 {
+		f.files.freeBytes -= int64(len(data))
 	}
 	f.put(data, at)
 	return len(data), nil
 }
 
 func (f *faultyFile) put(data []byte, at int64) {
-	now := slices.Clone(f.node.now)
+	now := slices.Clone(f.node.current)
 	if missing := int(at) + len(data) - len(now); missing > 0 {
 		now = append(now, make([]byte, missing)...)
 	}
 	copy(now[at:], data)
-	f.node.now = now
+	f.node.current = now
 }
 
 func (f *faultyFile) Truncate(size int64) error {
 	if err := f.files.call(); err != nil {
 		return err
 	}
-	if f.files.room >= 0 {
-		f.files.room += int64(len(f.node.now)) - size
+	if f.files.freeBytes >= 0 {
+		f.files.freeBytes += int64(len(f.node.current)) - size
 	}
-	f.node.now = slices.Clone(f.node.now[:size])
+	f.node.current = slices.Clone(f.node.current[:size])
 	return nil
 }
 
@@ -182,27 +182,27 @@
 	if err := f.files.call(); err != nil {
 		return err
 	}
-	if f.files.broken != nil {
-		return f.files.broken
+	if f.files.syncErr != nil {
+		return f.files.syncErr
 	}
-	f.node.synced = f.node.now
+	f.node.synced = f.node.current
 	return nil
 }
 
 func (f *faultyFile) Close() error { return nil }
 
 // contents are what a file may hold after power was lost.
-func (n *inode) contents() [][]byte {
+func (n *inode) possibleContents() [][]byte {
 	out := [][]byte{n.synced}
-	if string(n.now) == string(n.synced) {
+	if string(n.current) == string(n.synced) {
 		return out
 	}
-	out = append(out, n.now)
-	if len(n.now) > len(n.synced) {
-		half := len(n.synced) + (len(n.now)-len(n.synced))/2
-		out = append(out, n.now[:half])
+	out = append(out, n.current)
+	if len(n.current) > len(n.synced) {
+		half := len(n.synced) + (len(n.current)-len(n.synced))/2
+		out = append(out, n.current[:half])
 		// The length reached the disk, the first half of what was written did not.
-		holes := slices.Clone(n.now)
+		holes := slices.Clone(n.current)
 		clear(holes[len(n.synced):half])
 		out = append(out, holes)
 	}
@@ -210,7 +210,7 @@
 }
 
 // disks calls visit with every disk that may be there after power was lost now.
-func (f *faultyFiles) disks(visit func(name string, disk *faultyFiles)) {
+func (f *faultyFileSystem) forEachPossibleDisk(visit func(name string, disk *faultyFileSystem)) {
 	for set := range 1 << len(f.changes) {
 		names := make(map[string]*inode, len(f.durable))
 		for path, node := range f.durable {
@@ -227,7 +227,7 @@
 		}
 		slices.Sort(paths)
 		chooseContents(paths, names, nil, func(contents [][]byte) {
-			disk := newFiles()
+			disk := newFaultyFileSystem()
 			var told strings.Builder
 			for i, path := range paths {
 				node := &inode{contents[i], contents[i]}
@@ -244,7 +244,7 @@
 		visit(chosen)
 		return
 	}
-	for _, content := range names[paths[len(chosen)]].contents() {
+	for _, content := range names[paths[len(chosen)]].possibleContents() {
 		chooseContents(paths, names, append(slices.Clone(chosen), content), visit)
 	}
 }
--- a/daemon/store/files.go
+++ b/daemon/store/files.go
@@ -13,10 +13,10 @@
 // fileSystem is what the store needs of one; tests put faults into another.
 type fileSystem interface {
 	// MakeFolder makes the folder and those above it, each synced into its parent.
-	MakeFolder(folder string) error
+	MakeDir(dir string) error
 	// Lock keeps other processes out until it is closed.
-	Lock(folder string) (io.Closer, error)
-	List(folder string) ([]string, error)
+	Lock(dir string) (io.Closer, error)
+	List(dir string) ([]string, error)
 	Read(path string) ([]byte, error)
 	// Create makes an empty file; Open takes one that is there.
 	Create(path string) (file, error)
@@ -24,7 +24,7 @@
 	Rename(from, to string) error
 	Remove(path string) error
 	// SyncFolder makes the names in a folder last.
-	SyncFolder(folder string) error
+	SyncDir(dir string) error
 }
 
 type file interface {
@@ -39,7 +39,7 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-type osFiles struct{}
+type osFileSystem struct{}
 
 type osFile struct{ *os.File }
 
@@ -53,34 +53,34 @@
 	}
 }
 
-func (osFiles) MakeFolder(folder string) error {
-	if _, err := os.Stat(folder); err == nil {
+func (osFileSystem) MakeDir(dir string) error {
+	if _, err := os.Stat(dir); err == nil {
 		return nil
 	}
-	parent := filepath.Dir(folder)
-	if parent != folder {
-		if err := (osFiles{}).MakeFolder(parent); err != nil {
+	parent := filepath.Dir(dir)
+	if parent != dir {
+		if err := (osFileSystem{}).MakeDir(parent); err != nil {
 			return err
 		}
 	}
-	if err := os.Mkdir(folder, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
+	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, os.ErrExist) {
 		return err
 	}
-	return osFiles{}.SyncFolder(parent)
+	return osFileSystem{}.SyncDir(parent)
 }
 
 const (
-	lockName  = "lock"
-	lockWait  = time.Second
-	lockRetry = 20 * time.Millisecond
+	lockFileName      = "lock"
+	lockTimeout       = time.Second
+	lockRetryInterval = 20 * time.Millisecond
 )
 
-func (osFiles) Lock(folder string) (io.Closer, error) {
-	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+func (osFileSystem) Lock(dir string) (io.Closer, error) {
+	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(lockWait); ; time.Sleep(lockRetry) {
+	for until := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return f, nil
@@ -92,8 +92,8 @@
 	}
 }
 
-func (osFiles) List(folder string) ([]string, error) {
-	entries, err := os.ReadDir(folder)
+func (osFileSystem) List(dir string) ([]string, error) {
+	entries, err := os.ReadDir(dir)
 	names := make([]string, 0, len(entries))
 	for _, e := range entries {
 		names = append(names, e.Name())
@@ -101,23 +101,23 @@
 	return names, err
 }
 
-func (osFiles) Read(path string) ([]byte, error) { return os.ReadFile(path) }
+func (osFileSystem) Read(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (osFiles) Create(path string) (file, error) {
+func (osFileSystem) Create(path string) (file, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	return osFile{f}, err
 }
 
-func (osFiles) Open(path string) (file, error) {
+func (osFileSystem) Open(path string) (file, error) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	return osFile{f}, err
 }
 
-func (osFiles) Rename(from, to string) error { return os.Rename(from, to) }
-func (osFiles) Remove(path string) error     { return os.Remove(path) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Remove(path string) error     { return os.Remove(path) }
 
-func (osFiles) SyncFolder(folder string) error {
-	f, err := os.Open(folder)
+func (osFileSystem) SyncDir(dir string) error {
+	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
--- a/daemon/store/frame.go
+++ b/daemon/store/frame.go
@@ -10,7 +10,7 @@
 // A frame is what a file is made of: a magic number, the length of the payload, a
 // checksum of all that follows it, a kind, and the payload.
 const (
-	frameHead = 13
+	frameHeaderSize = 13
 	// frameMagic has bytes that no JSON text has, so that a payload never looks
 	// like the start of a frame.
 	frameMagic = "\x1fSL\x01"
@@ -20,11 +20,11 @@
 
 const (
 	// kindHead begins a file and says its number.
-	kindHead frameKind = 'h'
+	frameHeader frameKind = 'h'
 	// kindItems holds records and commands.
-	kindItems frameKind = 'i'
+	frameItems frameKind = 'i'
 	// kindFoot ends a snapshot and says how many items it has.
-	kindFoot frameKind = 'f'
+	frameFooter frameKind = 'f'
 )
 
 type frame struct {
@@ -52,18 +52,18 @@
 
 // readFrame gives the frame at the start of the data and its length, if it is whole.
 func readFrame(data []byte) (f frame, length int, ok bool) {
-	if len(data) < frameHead || string(data[:4]) != frameMagic {
+	if len(data) < frameHeaderSize || string(data[:4]) != frameMagic {
 		return frame{}, 0, false
 	}
 	payload := int64(binary.LittleEndian.Uint32(data[4:]))
-	if payload > int64(len(data)-frameHead) {
+	if payload > int64(len(data)-frameHeaderSize) {
 		return frame{}, 0, false
 	}
-	whole := data[:frameHead+int(payload)]
+	whole := data[:frameHeaderSize+int(payload)]
 	if binary.LittleEndian.Uint32(data[8:]) != checksum(whole) {
 		return frame{}, 0, false
 	}
-	return frame{frameKind(data[12]), whole[frameHead:]}, len(whole), true
+	return frame{frameKind(data[12]), whole[frameHeaderSize:]}, len(whole), true
 }
 
 // readFrames gives all frames up to the first place that is none, and where that is.
@@ -79,14 +79,14 @@
 }
 
 // holdsFrame says whether a whole frame begins anywhere in the data.
-func holdsFrame(data []byte) bool {
-	for at := 0; ; at++ {
-		next := bytes.Index(data[at:], []byte(frameMagic))
+func containsFrame(data []byte) bool {
+	for offset := 0; ; offset++ {
+		next := bytes.Index(data[offset:], []byte(frameMagic))
 		if next < 0 {
 			return false
 		}
-		at += next
-		if _, _, ok := readFrame(data[at:]); ok {
+		offset += next
+		if _, _, ok := readFrame(data[offset:]); ok {
 			return true
 		}
 	}
--- a/daemon/store/item.go
+++ b/daemon/store/item.go
@@ -14,13 +14,13 @@
 
 const (
 	// itemOwn is a record of the keeper itself; the newest of a key stands.
-	itemOwn itemKind = 'o'
+	itemReplicaRecord itemKind = 'o'
 	// itemLedger is a record of the ledger, in snapshots only.
-	itemLedger itemKind = 'l'
+	itemStateRecord itemKind = 'l'
 	// itemCommand is a command of the ledger, in segments only.
 	itemCommand itemKind = 'c'
 	// itemDrop takes back so many of the commands before it.
-	itemDrop itemKind = 'd'
+	itemTruncate itemKind = 'd'
 )
 
 type item struct {
@@ -36,10 +36,12 @@
 	return append(out, i.data...)
 }
 
-func dropItem(count int) item { return item{itemDrop, binary.AppendUvarint(nil, uint64(count))} }
+func truncateItem(count int) item {
+	return item{itemTruncate, binary.AppendUvarint(nil, uint64(count))}
+}
 
 // drop takes the last commands away, as many as the item says.
-func (i item) drop(commands []json.RawMessage) ([]json.RawMessage, error) {
+func (i item) truncate(commands []json.RawMessage) ([]json.RawMessage, error) {
 	count, n := binary.Uvarint(i.data)
 	if n <= 0 || count > uint64(len(commands)) {
 		return nil, fmt.Errorf("it drops %d commands of %d", count, len(commands))
--- a/daemon/store/names.go
+++ b/daemon/store/names.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	snapshotPrefix = "snapshot-"
-	segmentPrefix  = "log-"
-	temporaryName  = "snapshot.tmp"
+	snapshotPrefix        = "snapshot-"
+	segmentPrefix         = "log-"
+	temporarySnapshotName = "snapshot.tmp"
 	// earlierName is the data file of releases that kept records in a bbolt file.
-	earlierName = "ledger.db"
+	legacyFileName = "ledger.db"
 )
 
 func snapshotName(number uint64) string { return fmt.Sprintf("%s%012d", snapshotPrefix, number) }
 func segmentName(number uint64) string  { return fmt.Sprintf("%s%012d", segmentPrefix, number) }
 
 // numbered gives the numbers of the files with a prefix, the smallest first.
-func numbered(names []string, prefix string) []uint64 {
+func numbersWithPrefix(names []string, prefix string) []uint64 {
 	var out []uint64
 	for _, name := range names {
 		digits, ok := strings.CutPrefix(name, prefix)
--- a/daemon/store/own.go
+++ b/daemon/store/own.go
@@ -12,16 +12,16 @@
 type recordKey struct{ bucket, key string }
 
 // ownRecords are the keeper's own records as they stand, for the next snapshot.
-type ownRecords map[recordKey]machine.Record
+type replicaRecords map[recordKey]machine.Record
 
-func (o ownRecords) put(records []machine.Record) {
+func (o replicaRecords) put(records []machine.Record) {
 	for _, r := range records {
 		o[recordKey{r.Bucket, r.Key}] = r
 	}
 }
 
 // sorted gives them in the order of buckets and keys.
-func (o ownRecords) sorted() []machine.Record {
+func (o replicaRecords) sorted() []machine.Record {
 	out := make([]machine.Record, 0, len(o))
 	for _, r := range o {
 		out = append(out, r)
@@ -32,10 +32,10 @@
 	return out
 }
 
-func (o ownRecords) items() []item {
+func (o replicaRecords) items() []item {
 	out := make([]item, 0, len(o))
 	for _, r := range o.sorted() {
-		out = append(out, recordItem(itemOwn, r))
+		out = append(out, recordItem(itemReplicaRecord, r))
 	}
 	return out
 }
--- a/daemon/store/power_test.go
+++ b/daemon/store/power_test.go
@@ -17,7 +17,7 @@
 )
 
 // told says what is stored, in one line.
-func told(s machine.Stored) string {
+func describe(s machine.StoredState) string {
 	out := ""
 	for _, r := range s.Records {
 		out += fmt.Sprintf("%s/%s=%s ", r.Bucket, r.Key, r.Value)
@@ -30,7 +30,7 @@
 }
 
 // ledgerOf is a snapshot with one record.
-func ledgerOf(value string) iter.Seq[machine.Record] {
+func snapshotOf(value string) iter.Seq[machine.Record] {
 	return slices.Values([]machine.Record{record("job", "a", value)})
 }
 
@@ -38,19 +38,19 @@
 // own records, another snapshot, and the state of another history.
 func script() []machine.Write {
 	return []machine.Write{
-		{Done: 1, Records: []machine.Record{record("keeper", "identity", `"k"`)}},
-		{Done: 2, Commands: commands(1, 2)},
-		{Done: 3, Commands: commands(3), Snapshot: ledgerOf(`3`)},
-		{Done: 4, Commands: commands(4), Records: []machine.Record{record("keeper", "stands", `1`)}},
+		{ID: 1, Records: []machine.Record{record("keeper", "identity", `"k"`)}},
+		{ID: 2, Commands: commands(1, 2)},
+		{ID: 3, Commands: commands(3), Snapshot: snapshotOf(`3`)},
+		{ID: 4, Commands: commands(4), Records: []machine.Record{record("keeper", "stands", `1`)}},
 		{
-			Done: 5, Commands: commands(5), Records: []machine.Record{record("keeper", "stands", `2`)},
-			Snapshot: ledgerOf(`5`),
+			ID: 5, Commands: commands(5), Records: []machine.Record{record("keeper", "stands", `2`)},
+			Snapshot: snapshotOf(`5`),
 		},
-		{Done: 6, Commands: commands(6, 66, 67)},
-		{Done: 6, Drop: 2, Commands: commands(7)},
-		{Done: 6, Drop: 1},
-		{Done: 7, Records: []machine.Record{record("keeper", "stands", `3`)}, Snapshot: ledgerOf(`90`), Replace: true},
-		{Done: 8, Commands: commands(91)},
+		{ID: 6, Commands: commands(6, 66, 67)},
+		{ID: 6, TruncateCount: 2, Commands: commands(7)},
+		{ID: 6, TruncateCount: 1},
+		{ID: 7, Records: []machine.Record{record("keeper", "stands", `3`)}, Snapshot: snapshotOf(`90`), ReplaceLog: true},
+		{ID: 8, Commands: commands(91)},
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // model is the same script on a disk in memory that never fails. Of a snapshot beside
 // the log either may be found: the snapshot, or the commands that led up to it.
-func model(writes []machine.Write) map[string]bool {
+func modelStates(writes []machine.Write) map[string]bool {
 	var own []machine.Record
 	type form struct {
 		ledger   []machine.Record
@@ -75,12 +75,12 @@
 			own = slices.DeleteFunc(own, func(o machine.Record) bool { return o.Key == r.Key })
 			own = append(own, r)
 		}
-		if w.Replace {
+		if w.ReplaceLog {
 			forms = []form{{ledger: slices.Collect(w.Snapshot)}}
 			continue
 		}
 		for i := range forms {
-			kept := forms[i].commands[:len(forms[i].commands)-w.Drop]
+			kept := forms[i].commands[:len(forms[i].commands)-w.TruncateCount]
 			forms[i].commands = append(slices.Clone(kept), w.Commands...)
 		}
 		if w.Snapshot != nil {
@@ -90,13 +90,13 @@
 	slices.SortFunc(own, func(a, b machine.Record) int { return strings.Compare(a.Key, b.Key) })
 	out := map[string]bool{}
 	for _, f := range forms {
-		out[told(machine.Stored{Records: slices.Concat(own, f.ledger), Commands: f.commands})] = true
+		out[describe(machine.StoredState{Records: slices.Concat(own, f.ledger), Commands: f.commands})] = true
 	}
 	return out
 }
 
 // runUntilPowerIsLost plays the script and gives how many batches were reported.
-func runUntilPowerIsLost(files *faultyFiles, writes []machine.Write) (reported int) {
+func runUntilPowerLoss(files *faultyFileSystem, writes []machine.Write) (reported int) {
 	s, _, err := open(files, "d")
 	if err != nil {
 		return 0
@@ -117,10 +117,10 @@
 	writes := script()
 	tried := 0
 	for limit := 1; ; limit++ {
-		files := newFiles()
-		files.limit = limit
-		reported := runUntilPowerIsLost(files, writes)
-		files.disks(func(name string, disk *faultyFiles) {
+		files := newFaultyFileSystem()
+		files.failAtCall = limit
+		reported := runUntilPowerLoss(files, writes)
+		files.forEachPossibleDisk(func(name string, disk *faultyFileSystem) {
 			tried++
 			checkDisk(t, fmt.Sprintf("call %d, %d reported, %s", limit, reported, name), disk, writes, reported)
 		})
@@ -132,11 +132,11 @@
 }
 
 // checkDisk opens a disk, wants what was reported, and writes on.
-func checkDisk(t *testing.T, name string, disk *faultyFiles, writes []machine.Write, reported int) {
+func checkDisk(t *testing.T, name string, disk *faultyFileSystem, writes []machine.Write, reported int) {
 	t.Helper()
-	want := model(writes[:reported])
+	want := modelStates(writes[:reported])
 	if reported < len(writes) {
-		for form := range model(writes[:reported+1]) {
+		for form := range modelStates(writes[:reported+1]) {
 			want[form] = true
 		}
 	}
@@ -145,15 +145,15 @@
 		t.Errorf("%s: %v", name, err)
 		return
 	}
-	if got := told(stored); !want[got] {
+	if got := describe(stored); !want[got] {
 		t.Errorf("%s: found %s, want one of %v", name, got, want)
 	}
 	// What was found is promised, so power lost again at once must not take it, nor what
 	// is reported from now on. The snapshot that is begun never comes to its end.
-	wantEverywhere(t, name, disk, stored)
+	checkAllDisks(t, name, disk, stored)
 	s.pause = func(time.Duration) bool { return false }
 	for i, w := range []machine.Write{
-		{Commands: commands(1000), Snapshot: ledgerOf(`1000`)},
+		{Commands: commands(1000), Snapshot: snapshotOf(`1000`)},
 		{Commands: commands(1001)},
 	} {
 		if err := s.Write(w); err != nil {
@@ -161,20 +161,20 @@
 		}
 		s.background.Wait()
 		stored.Commands = append(stored.Commands, commands(1000+i)...)
-		wantEverywhere(t, name, disk, stored)
+		checkAllDisks(t, name, disk, stored)
 	}
 }
 
 // wantEverywhere wants the same on every disk that may be there after a loss of power.
-func wantEverywhere(t *testing.T, name string, disk *faultyFiles, want machine.Stored) {
+func checkAllDisks(t *testing.T, name string, disk *faultyFileSystem, want machine.StoredState) {
 	t.Helper()
-	disk.disks(func(again string, lost *faultyFiles) {
+	disk.forEachPossibleDisk(func(again string, lost *faultyFileSystem) {
 		_, found, err := open(lost, "d")
 		if err != nil {
 			t.Errorf("%s, then %s: %v", name, again, err)
 			return
 		}
-		if diff := cmp.Diff(told(want), told(found)); diff != "" {
+		if diff := cmp.Diff(describe(want), describe(found)); diff != "" {
 			t.Errorf("%s, then %s: %s", name, again, diff)
 		}
 	})
@@ -185,11 +185,11 @@
 func TestAProcessEndsThenPowerIsLost(t *testing.T) {
 	writes := script()
 	for limit := 1; ; limit++ {
-		files := newFiles()
-		files.limit = limit
-		reported := runUntilPowerIsLost(files, writes)
+		files := newFaultyFileSystem()
+		files.failAtCall = limit
+		reported := runUntilPowerLoss(files, writes)
 		done := reported == len(writes) && files.calls < limit
-		files.limit = 0
+		files.failAtCall = 0
 		checkDisk(t, fmt.Sprintf("call %d, %d reported", limit, reported), files, writes, reported)
 		if t.Failed() || done {
 			break
--- a/daemon/store/snapshot.go
+++ b/daemon/store/snapshot.go
@@ -13,26 +13,26 @@
 
 const (
 	// pieceMin is how much of a snapshot is encoded at a time, at least.
-	pieceMin = 64 << 10
+	minChunkSize = 64 << 10
 	// piecePause leaves the processor and the disk to the log between two pieces.
-	piecePause = 5 * time.Millisecond
+	chunkPause = 5 * time.Millisecond
 )
 
-func headFrame(number uint64) []byte {
-	return appendFrame(nil, frame{kindHead, binary.AppendUvarint(nil, number)})
+func headerFrame(number uint64) []byte {
+	return appendFrame(nil, frame{frameHeader, binary.AppendUvarint(nil, number)})
 }
 
 // snapshotWriter writes a snapshot in pieces.
 type snapshotWriter struct {
-	file  file
-	end   int64
-	items uint64
-	piece []byte
+	file      file
+	end       int64
+	itemCount uint64
+	chunk     []byte
 	// between is called between two pieces and may end the writing.
-	between func() error
+	afterChunk func() error
 }
 
-func (w *snapshotWriter) put(f frame) error {
+func (w *snapshotWriter) writeFrame(f frame) error {
 	encoded := appendFrame(nil, f)
 	_, err := w.file.WriteAt(encoded, w.end)
 	w.end += int64(len(encoded))
@@ -40,23 +40,23 @@
 }
 
 func (w *snapshotWriter) add(i item) error {
-	w.items++
-	if w.piece = appendItem(w.piece, i); len(w.piece) < pieceMin {
+	w.itemCount++
+	if w.chunk = appendItem(w.chunk, i); len(w.chunk) < minChunkSize {
 		return nil
 	}
 	return w.flush()
 }
 
 func (w *snapshotWriter) flush() error {
-	if len(w.piece) == 0 {
+	if len(w.chunk) == 0 {
 		return nil
 	}
-	err := w.put(frame{kindItems, w.piece})
-	w.piece = w.piece[:0]
+	err := w.writeFrame(frame{frameItems, w.chunk})
+	w.chunk = w.chunk[:0]
 	if err != nil {
 		return err
 	}
-	return w.between()
+	return w.afterChunk()
 }
 
 // writeAll writes all items and the foot, and syncs the file.
@@ -67,14 +67,14 @@
 		}
 	}
 	for r := range records {
-		if err := w.add(recordItem(itemLedger, r)); err != nil {
+		if err := w.add(recordItem(itemStateRecord, r)); err != nil {
 			return err
 		}
 	}
 	if err := w.flush(); err != nil {
 		return err
 	}
-	if err := w.put(frame{kindFoot, binary.AppendUvarint(nil, w.items)}); err != nil {
+	if err := w.writeFrame(frame{frameFooter, binary.AppendUvarint(nil, w.itemCount)}); err != nil {
 		return err
 	}
 	return w.file.Sync()
@@ -82,55 +82,55 @@
 
 // writeSnapshot makes a snapshot last, with pauses if the log goes on meanwhile, and
 // removes what it stands for. It gives the size of the file.
-func (s *Store) writeSnapshot(number uint64, own []item, records iter.Seq[machine.Record], beside bool) (int64, error) {
-	temporary := s.path(temporaryName)
-	f, err := s.files.Create(temporary)
+func (s *Store) writeSnapshot(number uint64, own []item, records iter.Seq[machine.Record], inBackground bool) (int64, error) {
+	temporary := s.path(temporarySnapshotName)
+	f, err := s.fileSystem.Create(temporary)
 	if err != nil {
 		return 0, err
 	}
-	w := &snapshotWriter{file: f, between: func() error {
-		if beside && !s.pause(piecePause) {
+	w := &snapshotWriter{file: f, afterChunk: func() error {
+		if inBackground && !s.pause(chunkPause) {
 			return errClosed
 		}
 		return nil
 	}}
-	if err = w.put(frame{kindHead, binary.AppendUvarint(nil, number)}); err == nil {
+	if err = w.writeFrame(frame{frameHeader, binary.AppendUvarint(nil, number)}); err == nil {
 		err = w.writeAll(own, records)
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		return 0, errors.Join(err, s.removeIfThere(temporaryName))
+		return 0, errors.Join(err, s.removeIfExists(temporarySnapshotName))
 	}
-	if err := s.files.Rename(temporary, s.path(snapshotName(number))); err != nil {
+	if err := s.fileSystem.Rename(temporary, s.path(snapshotName(number))); err != nil {
 		return 0, err
 	}
-	if err := s.files.SyncFolder(s.folder); err != nil {
+	if err := s.fileSystem.SyncDir(s.dir); err != nil {
 		return 0, err
 	}
-	return w.end, s.removeBefore(number)
+	return w.end, s.removeObsolete(number)
 }
 
 // removeBefore removes what a lasting snapshot stands for. The segment that leads up
 // to it stays: its commands bring on others that are a little behind.
-func (s *Store) removeBefore(number uint64) error {
-	names, err := s.files.List(s.folder)
+func (s *Store) removeObsolete(number uint64) error {
+	names, err := s.fileSystem.List(s.dir)
 	if err != nil {
 		return err
 	}
-	for _, n := range numbered(names, snapshotPrefix) {
+	for _, n := range numbersWithPrefix(names, snapshotPrefix) {
 		if n < number {
-			err = errors.Join(err, s.removeIfThere(snapshotName(n)))
+			err = errors.Join(err, s.removeIfExists(snapshotName(n)))
 		}
 	}
-	for _, n := range numbered(names, segmentPrefix) {
+	for _, n := range numbersWithPrefix(names, segmentPrefix) {
 		if n+1 < number {
-			err = errors.Join(err, s.removeIfThere(segmentName(n)))
+			err = errors.Join(err, s.removeIfExists(segmentName(n)))
 		}
 	}
 	return err
 }
 
-func (s *Store) removeIfThere(name string) error {
-	if err := s.files.Remove(s.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+func (s *Store) removeIfExists(name string) error {
+	if err := s.fileSystem.Remove(s.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
