--- a/daemon/store/store_test.go
+++ b/daemon/store/store_test.go
@@ -23,9 +23,9 @@
 	return machine.Record{Bucket: bucket, Key: key, Value: json.RawMessage(value)}
 }
 
-func mustOpen(t *testing.T, folder string) (*Store, machine.Stored) {
+func mustOpen(t *testing.T, dir string) (*Store, machine.StoredState) {
 	t.Helper()
-	s, stored, err := Open(folder)
+	s, stored, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 }
 
 func TestABatchIsWholeAndLasts(t *testing.T) {
-	folder := t.TempDir()
-	s, stored := mustOpen(t, folder)
-	if told(stored) != "+" {
+	dir := t.TempDir()
+	s, stored := mustOpen(t, dir)
+	if describe(stored) != "+" {
 		t.Fatalf("a new folder has %v", stored)
 	}
 	writes := script()
@@ -54,9 +54,9 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		s, stored = mustOpen(t, folder)
-		if want := model(writes[:i+1]); !want[told(stored)] {
-			t.Errorf("after batch %d: found %s, want one of %v", w.Done, told(stored), want)
+		s, stored = mustOpen(t, dir)
+		if want := modelStates(writes[:i+1]); !want[describe(stored)] {
+			t.Errorf("after batch %d: found %s, want one of %v", w.ID, describe(stored), want)
 		}
 	}
 	if err := s.Close(); err != nil {
@@ -68,26 +68,26 @@
 }
 
 func TestTwoProcessesDoNotShareAFolder(t *testing.T) {
-	folder := t.TempDir()
-	s, _ := mustOpen(t, folder)
-	if _, _, err := Open(folder); !errorx.IsOfType(err, Unusable) {
+	dir := t.TempDir()
+	s, _ := mustOpen(t, dir)
+	if _, _, err := Open(dir); !errorx.IsOfType(err, ErrUnusable) {
 		t.Errorf("a second process opened the folder: %v", err)
 	}
 	s.Close()
-	s, _ = mustOpen(t, folder)
+	s, _ = mustOpen(t, dir)
 	s.Close()
 }
 
 // TestHistoryLeadsUpToTheSnapshot wants the commands before the snapshot back, too.
 func TestHistoryLeadsUpToTheSnapshot(t *testing.T) {
-	folder := t.TempDir()
-	s, _ := mustOpen(t, folder)
-	mustWrite(t, s, machine.Write{Commands: commands(1, 2, 3), Snapshot: ledgerOf(`3`)})
+	dir := t.TempDir()
+	s, _ := mustOpen(t, dir)
+	mustWrite(t, s, machine.Write{Commands: commands(1, 2, 3), Snapshot: snapshotOf(`3`)})
 	mustWrite(t, s, machine.Write{Commands: commands(4)})
 	s.Close()
-	s, stored := mustOpen(t, folder)
+	s, stored := mustOpen(t, dir)
 	defer s.Close()
-	if diff := cmp.Diff(commands(1, 2, 3), stored.History); diff != "" {
+	if diff := cmp.Diff(commands(1, 2, 3), stored.CommandsBeforeSnapshot); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff(commands(4), stored.Commands); diff != "" {
@@ -97,23 +97,23 @@
 
 // TestTheFolderStaysSmall writes many times the log's length and counts what is there.
 func TestTheFolderStaysSmall(t *testing.T) {
-	files := newFiles()
+	files := newFaultyFileSystem()
 	s, _, err := open(files, "d")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.logMin, s.pause = 1000, func(time.Duration) bool { return true }
+	s.minSnapshotInterval, s.pause = 1000, func(time.Duration) bool { return true }
 	var most, taken int
 	for n := range 5000 {
 		w := machine.Write{Commands: commands(n)}
 		if s.SnapshotDue() {
-			w.Snapshot = ledgerOf(fmt.Sprint(n))
+			w.Snapshot = snapshotOf(fmt.Sprint(n))
 			taken++
 		}
 		mustWrite(t, s, w)
 		size := 0
 		for _, node := range files.names {
-			size += len(node.now)
+			size += len(node.current)
 		}
 		most = max(most, size)
 	}
@@ -129,31 +129,31 @@
 // of the tries before is found.
 func TestAFullDiskIsWaitedFor(t *testing.T) {
 	for room := range int64(120) {
-		files := newFiles()
+		files := newFaultyFileSystem()
 		s, _, err := open(files, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
-		files.room = room
+		files.freeBytes = room
 		var waits []time.Duration
 		s.pause = func(d time.Duration) bool {
-			if end := len(files.names[s.path(segmentName(s.number))].now); int64(end) != s.end {
-				t.Errorf("room for %d bytes: while waiting the log ends at byte %d, not %d", room, end, s.end)
+			if end := len(files.names[s.path(segmentName(s.segmentNumber))].current); int64(end) != s.segmentEnd {
+				t.Errorf("room for %d bytes: while waiting the log ends at byte %d, not %d", room, end, s.segmentEnd)
 			}
 			if waits = append(waits, d); len(waits) == 8 {
-				files.room = 1 << 20
+				files.freeBytes = 1 << 20
 			}
 			return true
 		}
 		writes := script()
 		mustWrite(t, s, writes...)
-		if len(waits) < 8 || waits[0] != roomWaitMin || slices.Max(waits) > roomWaitMax {
+		if len(waits) < 8 || waits[0] != minDiskFullDelay || slices.Max(waits) > maxDiskFullDelay {
 			t.Errorf("room for %d bytes: waited %v", room, waits)
 		}
-		files.disks(func(name string, disk *faultyFiles) {
+		files.forEachPossibleDisk(func(name string, disk *faultyFileSystem) {
 			_, stored, err := open(disk, "d")
-			if want := model(writes); err != nil || !want[told(stored)] {
-				t.Errorf("room for %d bytes, %s: found %s, %v, want one of %v", room, name, told(stored), err, want)
+			if want := modelStates(writes); err != nil || !want[describe(stored)] {
+				t.Errorf("room for %d bytes, %s: found %s, %v, want one of %v", room, name, describe(stored), err, want)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 // TestNoRoomForASnapshot fills the disk in the middle of a snapshot: the log goes on.
 func TestNoRoomForASnapshot(t *testing.T) {
 	for room := int64(0); room < 200; room += 3 {
-		files := newFiles()
+		files := newFaultyFileSystem()
 		s, _, err := open(files, "d")
 		if err != nil {
 			t.Fatal(err)
@@ -172,18 +172,18 @@
 		if err := s.rotateWithRoom(files, room); err != nil {
 			t.Fatal(err)
 		}
-		files.room = -1
+		files.freeBytes = -1
 		mustWrite(t, s, machine.Write{Commands: commands(2)})
 		// Power is lost in the middle of the next batch.
-		files.limit = files.calls + 1
+		files.failAtCall = files.calls + 1
 		if s.Write(machine.Write{Commands: commands(3)}) == nil {
 			t.Error("a batch lasted without power")
 		}
-		files.disks(func(name string, disk *faultyFiles) {
+		files.forEachPossibleDisk(func(name string, disk *faultyFileSystem) {
 			_, stored, err := open(disk, "d")
 			want := map[string]bool{"+ 1 2": true, "job/a=1 + 2": true, "+ 1 2 3": true, "job/a=1 + 2 3": true}
-			if err != nil || !want[told(stored)] {
-				t.Errorf("room for %d bytes, %s: found %s, %v", room, name, told(stored), err)
+			if err != nil || !want[describe(stored)] {
+				t.Errorf("room for %d bytes, %s: found %s, %v", room, name, describe(stored), err)
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 // TestAFullDiskCostsTheHistoryFirst gives room for a snapshot only once the segment
 // before the last one is gone.
 func TestAFullDiskCostsTheHistoryFirst(t *testing.T) {
-	files := newFiles()
+	files := newFaultyFileSystem()
 	s, _, err := open(files, "d")
 	if err != nil {
 		t.Fatal(err)
@@ -202,36 +202,36 @@
 		tries++
 		return tries < 100
 	}
-	mustWrite(t, s, machine.Write{Commands: commands(1, 2, 3, 4, 5, 6, 7, 8), Snapshot: ledgerOf(`8`)})
-	history := len(files.names[s.path(segmentName(1))].now)
-	files.room = 10
+	mustWrite(t, s, machine.Write{Commands: commands(1, 2, 3, 4, 5, 6, 7, 8), Snapshot: snapshotOf(`8`)})
+	history := len(files.names[s.path(segmentName(1))].current)
+	files.freeBytes = 10
 	mustWrite(t, s, machine.Write{Commands: commands(9)})
-	if files.names[s.path(segmentName(1))] != nil || files.room <= 0 || files.room > int64(history) {
-		t.Errorf("the history of %d bytes is still there, with room for %d", history, files.room)
+	if files.names[s.path(segmentName(1))] != nil || files.freeBytes <= 0 || files.freeBytes > int64(history) {
+		t.Errorf("the history of %d bytes is still there, with room for %d", history, files.freeBytes)
 	}
-	files.disks(func(name string, disk *faultyFiles) {
-		if _, stored, err := open(disk, "d"); err != nil || told(stored) != "job/a=8 + 9" {
-			t.Errorf("%s: found %s, %v", name, told(stored), err)
+	files.forEachPossibleDisk(func(name string, disk *faultyFileSystem) {
+		if _, stored, err := open(disk, "d"); err != nil || describe(stored) != "job/a=8 + 9" {
+			t.Errorf("%s: found %s, %v", name, describe(stored), err)
 		}
 	})
 }
 
-func (s *Store) rotateWithRoom(files *faultyFiles, room int64) error {
-	files.room = room
+func (s *Store) rotateWithRoom(files *faultyFileSystem, room int64) error {
+	files.freeBytes = room
 	defer s.background.Wait()
-	return s.Write(machine.Write{Snapshot: ledgerOf(`1`)})
+	return s.Write(machine.Write{Snapshot: snapshotOf(`1`)})
 }
 
 func TestAFailedSyncEndsTheStore(t *testing.T) {
 	for _, broken := range []error{syscall.EIO, syscall.ENOSPC} {
-		files := newFiles()
+		files := newFaultyFileSystem()
 		s, _, err := open(files, "d")
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.pause = func(time.Duration) bool { t.Fatal("a failed sync was tried again"); return false }
-		files.broken = broken
-		if err := s.Write(machine.Write{Commands: commands(1)}); !errorx.IsOfType(err, Unusable) {
+		files.syncErr = broken
+		if err := s.Write(machine.Write{Commands: commands(1)}); !errorx.IsOfType(err, ErrUnusable) {
 			t.Errorf("%v: %v", broken, err)
 		}
 	}
@@ -239,11 +239,11 @@
 
 func TestADamagedFileIsRefusedByName(t *testing.T) {
 	whole := func(t *testing.T) string {
-		folder := t.TempDir()
-		s, _ := mustOpen(t, folder)
+		dir := t.TempDir()
+		s, _ := mustOpen(t, dir)
 		mustWrite(t, s, script()[:6]...)
 		s.Close()
-		return folder
+		return dir
 	}
 	flip := func(at int) func([]byte) []byte {
 		return func(b []byte) []byte {
@@ -261,14 +261,14 @@
 		{"a snapshot cut short", snapshot, func(b []byte) []byte { return b[:len(b)-1] }},
 		{"a snapshot with more behind it", snapshot, func(b []byte) []byte { return append(b, 1) }},
 		{"a bit in a snapshot", snapshot, flip(40)},
-		{"a snapshot without its foot", snapshot, func(b []byte) []byte { return b[:len(b)-frameHead-1] }},
+		{"a snapshot without its foot", snapshot, func(b []byte) []byte { return b[:len(b)-frameHeaderSize-1] }},
 		{"a segment's first bit", segment, flip(0)},
-		{"a bit in a batch that others follow", segment, flip(frameHead + 4)},
+		{"a bit in a batch that others follow", segment, flip(frameHeaderSize + 4)},
 		{"no segment", segment, nil},
 	} {
-		folder := whole(t)
-		path := filepath.Join(folder, row.file)
-		s, _ := mustOpen(t, folder)
+		dir := whole(t)
+		path := filepath.Join(dir, row.file)
+		s, _ := mustOpen(t, dir)
 		mustWrite(t, s, machine.Write{Commands: commands(7)})
 		s.Close()
 		data, err := os.ReadFile(path)
@@ -283,7 +283,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := Open(folder); !errorx.IsOfType(err, Damaged) || !strings.Contains(err.Error(), path) {
+		if _, _, err := Open(dir); !errorx.IsOfType(err, ErrCorrupted) || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", row.name, err)
 		}
 	}
@@ -291,32 +291,32 @@
 
 // TestAFolderThatPromisedIsNeverEmpty takes the snapshot away.
 func TestAFolderThatPromisedIsNeverEmpty(t *testing.T) {
-	folder := t.TempDir()
-	s, _ := mustOpen(t, folder)
+	dir := t.TempDir()
+	s, _ := mustOpen(t, dir)
 	mustWrite(t, s, script()[:2]...)
 	s.Close()
-	if err := os.Remove(filepath.Join(folder, snapshotName(1))); err != nil {
+	if err := os.Remove(filepath.Join(dir, snapshotName(1))); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(folder); !errorx.IsOfType(err, Damaged) {
+	if _, _, err := Open(dir); !errorx.IsOfType(err, ErrCorrupted) {
 		t.Errorf("taken for empty: %v", err)
 	}
 }
 
 func TestAnEarlierReleasesFileIsNamed(t *testing.T) {
-	folder := t.TempDir()
-	path := filepath.Join(folder, earlierName)
+	dir := t.TempDir()
+	path := filepath.Join(dir, legacyFileName)
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(folder); !errorx.IsOfType(err, Unusable) || !strings.Contains(err.Error(), path) {
+	if _, _, err := Open(dir); !errorx.IsOfType(err, ErrUnusable) || !strings.Contains(err.Error(), path) {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestAKeeperRefusesADamagedRecord(t *testing.T) {
 	identity := record("keeper", "identity", `"k"`)
-	for _, stored := range []machine.Stored{
+	for _, stored := range []machine.StoredState{
 		{Records: []machine.Record{identity, record("job", "a", `{"spec":`)}},
 		{Records: []machine.Record{record("keeper", "identity", `7`)}},
 		{Records: []machine.Record{record("job", "a", `{}`)}},
@@ -324,7 +324,7 @@
 		{Records: []machine.Record{identity}, Commands: []json.RawMessage{[]byte(`{"sequence":`)}},
 		{Records: []machine.Record{identity}, Commands: []json.RawMessage{[]byte(`{"sequence":2}`)}},
 	} {
-		if _, err := keeper.New(keeper.Env{Address: "1.1.1.1:1", FreshID: "f"}, stored); err == nil {
+		if _, err := keeper.New(keeper.Config{Address: "1.1.1.1:1", NewID: "f"}, stored); err == nil {
 			t.Errorf("%v was taken", stored)
 		}
 	}
--- a/daemon/transport/connection.go
+++ b/daemon/transport/connection.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	dialWait   = 700 * time.Millisecond
-	idleAfter  = 30 * time.Second
-	redialMin  = 100 * time.Millisecond
-	redialMax  = 2 * time.Second
-	batchBytes = 64 << 10
+	dialTimeout    = 700 * time.Millisecond
+	idleTimeout    = 30 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 2 * time.Second
+	maxBatchBytes  = 64 << 10
 	// queueBytesMax bounds what waits on one connection; a larger frame may wait alone.
-	queueBytesMax = 16 << 20
+	maxQueuedBytes = 16 << 20
 	// progressWait is how long a connection may take no byte at all of what is written.
-	progressWait = 3 * time.Second
+	writeProgressTimeout = 3 * time.Second
 	// A machine behind a partition says nothing: what it has not acknowledged for so
 	// long, or a probe on an idle connection, ends the connection.
-	unackedWait = 1500 * time.Millisecond
-	probeAfter  = 2 * time.Second
-	probeEach   = time.Second
-	probeCount  = 2
+	unacknowledgedTimeout = 1500 * time.Millisecond
+	keepAliveIdle         = 2 * time.Second
+	keepAliveInterval     = time.Second
+	keepAliveCount        = 2
 )
 
 var dialer = net.Dialer{
-	Timeout:         dialWait,
-	KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEach, Count: probeCount},
+	Timeout:         dialTimeout,
+	KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
 		if failed := raw.Control(func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedWait.Milliseconds()))
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 		}); failed != nil {
 			return failed
 		}
@@ -49,29 +49,29 @@
 }
 
 // outgoing is a frame to be sent. Frames of one broadcast share their body.
-type outgoing struct {
-	kind   string
-	header []byte
-	body   []byte
-	at     time.Duration
+type outgoingFrame struct {
+	kind     string
+	header   []byte
+	body     []byte
+	queuedAt time.Duration
 }
 
-func (f outgoing) size() int { return len(f.header) + len(f.body) }
+func (f outgoingFrame) size() int { return len(f.header) + len(f.body) }
 
 // connection sends the frames of one channel to one peer, from a goroutine of its
 // own. Who pushes never waits: a full queue drops its oldest frame.
 type connection struct {
-	to       string
+	address  string
 	now      func() time.Duration
 	counters *Counters
 	// ready is signalled when there is a frame, heard when the peer was heard from.
-	ready  chan struct{}
-	heard  chan struct{}
-	closed chan struct{}
+	frameQueued chan struct{}
+	peerHeard   chan struct{}
+	closed      chan struct{}
 
-	mu    sync.Mutex
-	queue fifo[outgoing]
-	bytes int
+	mu          sync.Mutex
+	queue       fifo[outgoingFrame]
+	queuedBytes int
 
 	conn   net.Conn
 	writer *bufio.Writer
@@ -79,31 +79,31 @@
 
 func newConnection(to string, now func() time.Duration, counters *Counters, closed chan struct{}) *connection {
 	return &connection{
-		to: to, now: now, counters: counters,
-		ready: make(chan struct{}, 1), heard: make(chan struct{}, 1), closed: closed,
+		address: to, now: now, counters: counters,
+		frameQueued: make(chan struct{}, 1), peerHeard: make(chan struct{}, 1), closed: closed,
 	}
 }
 
-func (c *connection) push(line machine.Line, header []byte) {
-	frame := outgoing{line.Kind, header, line.Body, c.now()}
+func (c *connection) push(message machine.Message, header []byte) {
+	frame := outgoingFrame{message.Kind, header, message.Body, c.now()}
 	c.mu.Lock()
-	for c.queue.len() > 0 && c.bytes+frame.size() > queueBytesMax {
-		c.drop(c.pop(), Overflow)
+	for c.queue.len() > 0 && c.queuedBytes+frame.size() > maxQueuedBytes {
+		c.drop(c.pop(), DropOverflow)
 	}
 	c.queue.push(frame)
-	c.bytes += frame.size()
+	c.queuedBytes += frame.size()
 	c.mu.Unlock()
-	notify(c.ready)
+	signal(c.frameQueued)
 }
 
-func (c *connection) pop() outgoing {
+func (c *connection) pop() outgoingFrame {
 	frame := c.queue.pop()
-	c.bytes -= frame.size()
+	c.queuedBytes -= frame.size()
 	return frame
 }
 
-func (c *connection) drop(frame outgoing, why Reason) {
-	c.counters.dropped(Drop{Kind: frame.kind, Outgoing: true, Reason: why})
+func (c *connection) drop(frame outgoingFrame, why DropReason) {
+	c.counters.dropped(DropKey{Kind: frame.kind, Outgoing: true, Reason: why})
 }
 
 func (c *connection) empty() bool {
@@ -113,16 +113,16 @@
 }
 
 // batch takes frames to be written together, without those that waited too long.
-func (c *connection) batch() []outgoing {
+func (c *connection) nextBatch() []outgoingFrame {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var frames []outgoing
-	for bytes := 0; c.queue.len() > 0 && (bytes == 0 || bytes+c.queue.first().size() <= batchBytes); {
+	var frames []outgoingFrame
+	for bytes := 0; c.queue.len() > 0 && (bytes == 0 || bytes+c.queue.first().size() <= maxBatchBytes); {
 		frame := c.pop()
-		c.counters.waited(now - frame.at)
-		if now-frame.at > TrafficOf(frame.kind).SendWithin {
-			c.drop(frame, Expired)
+		c.counters.waited(now - frame.queuedAt)
+		if now-frame.queuedAt > ClassOf(frame.kind).MaxSendWait {
+			c.drop(frame, DropExpired)
 			continue
 		}
 		frames = append(frames, frame)
@@ -133,32 +133,32 @@
 
 // run sends frames until the transport is closed, or until there were none for a
 // while and retire agrees.
-func (c *connection) run(retire func() bool) {
-	defer c.hangUp()
-	idle := time.NewTimer(idleAfter)
-	var redial backoff
+func (c *connection) run(tryRetire func() bool) {
+	defer c.disconnect()
+	idle := time.NewTimer(idleTimeout)
+	var redialBackoff backoff
 	for {
 		select {
 		case <-c.closed:
-			c.finish()
+			c.drain()
 			return
 		case <-idle.C:
-			if retire() {
+			if tryRetire() {
 				return
 			}
-		case <-c.ready:
+		case <-c.frameQueued:
 		}
-		idle.Reset(idleAfter)
+		idle.Reset(idleTimeout)
 		for !c.empty() {
 			if c.conn == nil && !c.dial() {
-				if !c.pause(&redial) {
+				if !c.waitBeforeRedial(&redialBackoff) {
 					return
 				}
 				continue
 			}
-			if c.send(c.batch()) {
-				redial = backoff{}
-			} else if !c.pause(&redial) {
+			if c.send(c.nextBatch()) {
+				redialBackoff = backoff{}
+			} else if !c.waitBeforeRedial(&redialBackoff) {
 				return
 			}
 		}
@@ -166,34 +166,34 @@
 }
 
 // finish sends what still waits, and gives up at the first failure.
-func (c *connection) finish() {
-	for !c.empty() && (c.conn != nil || c.dial()) && c.send(c.batch()) {
+func (c *connection) drain() {
+	for !c.empty() && (c.conn != nil || c.dial()) && c.send(c.nextBatch()) {
 	}
 }
 
 func (c *connection) dial() bool {
-	conn, err := dialer.Dial("tcp", c.to)
+	conn, err := dialer.Dial("tcp", c.address)
 	if err != nil {
 		return false
 	}
 	c.conn = conn
-	c.writer = bufio.NewWriterSize(progressWriter{conn}, batchBytes)
+	c.writer = bufio.NewWriterSize(progressWriter{conn}, maxBatchBytes)
 	return true
 }
 
 // send writes frames and flushes once. When the connection breaks all of them count
 // as unsent, so that no frame goes on where another connection left off.
-func (c *connection) send(frames []outgoing) bool {
+func (c *connection) send(frames []outgoingFrame) bool {
 	for _, frame := range frames {
 		c.writer.Write(frame.header)
 		c.writer.Write(frame.body)
 	}
 	if err := c.writer.Flush(); err != nil {
-		logline.Event("connection_lost", "to", c.to, "why", err.Error())
+		logline.Info("connection_lost", "to", c.address, "why", err.Error())
 		for _, frame := range frames {
-			c.drop(frame, Unsent)
+			c.drop(frame, DropUnsent)
 		}
-		c.hangUp()
+		c.disconnect()
 		return false
 	}
 	for _, frame := range frames {
@@ -202,7 +202,7 @@
 	return true
 }
 
-func (c *connection) hangUp() {
+func (c *connection) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 	}
@@ -211,13 +211,13 @@
 
 // pause waits before the next dial, unless the peer is heard from. It says whether
 // to go on.
-func (c *connection) pause(redial *backoff) bool {
-	wait := time.NewTimer(redial.next())
+func (c *connection) waitBeforeRedial(redial *backoff) bool {
+	wait := time.NewTimer(redial.nextDelay())
 	defer wait.Stop()
 	select {
 	case <-c.closed:
 		return false
-	case <-c.heard:
+	case <-c.peerHeard:
 		*redial = backoff{}
 	case <-wait.C:
 	}
@@ -226,11 +226,11 @@
 
 // backoff doubles from redialMin to redialMax; a random part keeps those who lost
 // the same peer from dialling it at the same moment.
-type backoff struct{ last time.Duration }
+type backoff struct{ lastDelay time.Duration }
 
-func (b *backoff) next() time.Duration {
-	b.last = min(max(2*b.last, redialMin), redialMax)
-	return b.last/2 + rand.N(b.last/2)
+func (b *backoff) nextDelay() time.Duration {
+	b.lastDelay = min(max(2*b.lastDelay, minRedialDelay), maxRedialDelay)
+	return b.lastDelay/2 + rand.N(b.lastDelay/2)
 }
 
 // progressWriter writes piece by piece, each with a deadline of its own: a large
@@ -239,10 +239,10 @@
 
 func (w progressWriter) Write(data []byte) (written int, err error) {
 	for written < len(data) {
-		if err := w.conn.SetWriteDeadline(time.Now().Add(progressWait)); err != nil {
+		if err := w.conn.SetWriteDeadline(time.Now().Add(writeProgressTimeout)); err != nil {
 			return written, err
 		}
-		count, err := w.conn.Write(data[written:min(len(data), written+batchBytes)])
+		count, err := w.conn.Write(data[written:min(len(data), written+maxBatchBytes)])
 		written += count
 		if err != nil && (count == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
 			return written, err
@@ -251,9 +251,9 @@
 	return written, nil
 }
 
-func notify(signal chan struct{}) {
+func signal(channel chan struct{}) {
 	select {
-	case signal <- struct{}{}:
+	case channel <- struct{}{}:
 	default:
 	}
 }
--- a/daemon/transport/connection_test.go
+++ b/daemon/transport/connection_test.go
@@ -45,7 +45,7 @@
 	if written, err := (progressWriter{slow}).Write(make([]byte, size)); err != nil || written != size {
 		t.Errorf("%d of %d bytes after %d timeouts: %v", written, size, slow.timeouts, err)
 	}
-	if slow.timeouts < size/batchBytes {
+	if slow.timeouts < size/maxBatchBytes {
 		t.Errorf("only %d deadlines passed", slow.timeouts)
 	}
 }
@@ -62,7 +62,7 @@
 	var redial backoff
 	for _, most := range []time.Duration{100, 200, 400, 800, 1600, 2000, 2000} {
 		most *= time.Millisecond
-		if wait := redial.next(); wait < most/2 || wait > most {
+		if wait := redial.nextDelay(); wait < most/2 || wait > most {
 			t.Errorf("a wait of %s, not between %s and %s", wait, most/2, most)
 		}
 	}
@@ -72,10 +72,10 @@
 // which patience would not show; the wait must also begin anew.
 func TestAPeerThatIsHeardFromIsDialledAtOnce(t *testing.T) {
 	c := newConnection("peer", (&clock{}).now, NewCounters(), make(chan struct{}))
-	redial := backoff{last: redialMax}
-	notify(c.heard)
-	if goOn := c.pause(&redial); !goOn || redial.last != 0 {
-		t.Errorf("goes on: %v, with a last wait of %s", goOn, redial.last)
+	redial := backoff{lastDelay: maxRedialDelay}
+	signal(c.peerHeard)
+	if goOn := c.waitBeforeRedial(&redial); !goOn || redial.lastDelay != 0 {
+		t.Errorf("goes on: %v, with a last wait of %s", goOn, redial.lastDelay)
 	}
 }
 
@@ -85,15 +85,15 @@
 	c := newConnection("peer", (&clock{}).now, counters, make(chan struct{}))
 	body := string(make([]byte, size))
 	for i := range frames {
-		c.push(line(wire.News, "me", "", body), []byte{byte(i)})
+		c.push(newMessage(wire.KindFeedUpdate, "me", "", body), []byte{byte(i)})
 	}
-	if c.bytes > queueBytesMax || c.queue.len() != 15 {
-		t.Errorf("%d frames of %d bytes wait", c.queue.len(), c.bytes)
+	if c.queuedBytes > maxQueuedBytes || c.queue.len() != 15 {
+		t.Errorf("%d frames of %d bytes wait", c.queue.len(), c.queuedBytes)
 	}
 	if first := c.queue.first().header[0]; first != frames-15 {
 		t.Errorf("the oldest kept is %d", first)
 	}
-	if got := counters.Take().Dropped[Drop{Kind: wire.News, Outgoing: true, Reason: Overflow}]; got != frames-15 {
+	if got := counters.TakeAndReset().Dropped[DropKey{Kind: wire.KindFeedUpdate, Outgoing: true, Reason: DropOverflow}]; got != frames-15 {
 		t.Errorf("%d count as dropped", got)
 	}
 }
@@ -101,16 +101,16 @@
 func TestFramesThatWaitedTooLongAreNotSent(t *testing.T) {
 	clock, counters := &clock{}, NewCounters()
 	c := newConnection("peer", clock.now, counters, make(chan struct{}))
-	c.push(line(wire.Command, "me", "", ""), []byte("old command"))
-	c.push(line(wire.Replicate, "me", "", ""), []byte("heartbeat in time"))
+	c.push(newMessage(wire.KindCommand, "me", "", ""), []byte("old command"))
+	c.push(newMessage(wire.KindReplicate, "me", "", ""), []byte("heartbeat in time"))
 	clock.at = requestMaxAge + 1
-	c.push(line(wire.Command, "me", "", ""), []byte("new command"))
+	c.push(newMessage(wire.KindCommand, "me", "", ""), []byte("new command"))
 	var sent []string
-	for _, frame := range c.batch() {
+	for _, frame := range c.nextBatch() {
 		sent = append(sent, string(frame.header))
 	}
 	equal(t, sent, []string{"heartbeat in time", "new command"})
-	if got := counters.Take().Dropped[Drop{Kind: wire.Command, Outgoing: true, Reason: Expired}]; got != 1 {
+	if got := counters.TakeAndReset().Dropped[DropKey{Kind: wire.KindCommand, Outgoing: true, Reason: DropExpired}]; got != 1 {
 		t.Errorf("%d commands count as expired", got)
 	}
 }
@@ -119,13 +119,13 @@
 func TestABatchIsBounded(t *testing.T) {
 	c := newConnection("peer", (&clock{}).now, NewCounters(), make(chan struct{}))
 	for range 3 {
-		c.push(line(wire.Snapshot, "me", "", string(make([]byte, 2*batchBytes))), nil)
+		c.push(newMessage(wire.KindSnapshotChunk, "me", "", string(make([]byte, 2*maxBatchBytes))), nil)
 	}
 	for range 100 {
-		c.push(line(wire.Replicate, "me", "", string(make([]byte, 1000))), nil)
+		c.push(newMessage(wire.KindReplicate, "me", "", string(make([]byte, 1000))), nil)
 	}
 	for _, want := range []int{1, 1, 1, 65, 35, 0} {
-		if got := len(c.batch()); got != want {
+		if got := len(c.nextBatch()); got != want {
 			t.Errorf("a batch of %d frames, not %d", got, want)
 		}
 	}
--- a/daemon/transport/counters_test.go
+++ b/daemon/transport/counters_test.go
@@ -12,18 +12,18 @@
 	counters.received("beat", 50)
 	counters.received("accept", 7)
 	counters.sent("news", 9)
-	counters.dropped(Drop{"command", false, Expired})
-	counters.dropped(Drop{"command", false, Expired})
-	counters.dropped(Drop{"command", true, Expired})
-	counters.dropped(Drop{"beat", false, Replaced})
+	counters.dropped(DropKey{"command", false, DropExpired})
+	counters.dropped(DropKey{"command", false, DropExpired})
+	counters.dropped(DropKey{"command", true, DropExpired})
+	counters.dropped(DropKey{"beat", false, DropReplaced})
 	counters.waited(3 * time.Second)
 	counters.waited(time.Second)
 	want := "[dropped beat/in/replaced:1,command/in/expired:2,command/out/expired:1 " +
 		"received accept:1/7,beat:2/150 sent news:1/9 longestWaitMs 3000]"
-	if got := fmt.Sprint(counters.Take().Fields()); got != want {
+	if got := fmt.Sprint(counters.TakeAndReset().Fields()); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
-	if left := counters.Take(); len(left.Received)+len(left.Sent)+len(left.Dropped) != 0 || left.LongestWait != 0 {
+	if left := counters.TakeAndReset(); len(left.Received)+len(left.Sent)+len(left.Dropped) != 0 || left.LongestWait != 0 {
 		t.Errorf("after a report there is %+v", left)
 	}
 }
--- a/daemon/transport/fifo.go
+++ b/daemon/transport/fifo.go
@@ -22,7 +22,7 @@
 	switch {
 	case f.head == len(f.items):
 		f.items, f.head = f.items[:0], 0
-	case f.head > len(f.items)/2 && f.head > compactAfter:
+	case f.head > len(f.items)/2 && f.head > minCompactHead:
 		count := copy(f.items, f.items[f.head:])
 		clear(f.items[count:])
 		f.items, f.head = f.items[:count], 0
@@ -31,4 +31,4 @@
 }
 
 // compactAfter is how many empty places at the front are left alone.
-const compactAfter = 64
+const minCompactHead = 64
--- a/daemon/transport/frame_test.go
+++ b/daemon/transport/frame_test.go
@@ -11,7 +11,7 @@
 	"sorrelloom/core/machine"
 )
 
-func frameOf(t *testing.T, l machine.Line) []byte {
+func frameOf(t *testing.T, l machine.Message) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := WriteFrame(&out, l); err != nil {
@@ -21,8 +21,8 @@
 }
 
 func TestFramesAreReadAsTheyWereWritten(t *testing.T) {
-	large := string(make([]byte, 3*allocateAtOnce))
-	lines := []machine.Line{line("a", "f", "k", "body"), line("b", "f", "", ""), line("c", "f", "", large)}
+	large := string(make([]byte, 3*maxInitialAllocation))
+	lines := []machine.Message{newMessage("a", "f", "k", "body"), newMessage("b", "f", "", ""), newMessage("c", "f", "", large)}
 	var stream bytes.Buffer
 	for _, l := range lines {
 		stream.Write(frameOf(t, l))
@@ -38,7 +38,7 @@
 }
 
 func TestAFrameThatBreaksOffIsAnError(t *testing.T) {
-	whole := frameOf(t, line("kind", "from", "key", "body"))
+	whole := frameOf(t, newMessage("kind", "from", "key", "body"))
 	for length := 1; length < len(whole); length++ {
 		if got, err := ReadFrame(bytes.NewReader(whole[:length])); err == nil || err == io.EOF {
 			t.Errorf("%d bytes are read as %+v, %v", length, got, err)
@@ -48,21 +48,21 @@
 
 // TestALengthIsNotTrustedWithMemory has lengths that the stream does not keep.
 func TestALengthIsNotTrustedWithMemory(t *testing.T) {
-	for _, length := range []uint32{FrameMax, FrameMax + 1, 1<<32 - 1} {
+	for _, length := range []uint32{MaxFrameSize, MaxFrameSize + 1, 1<<32 - 1} {
 		stream := binary.BigEndian.AppendUint32(nil, length)
 		stream = append(stream, "some bytes"...)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		_, err := ReadFrame(bytes.NewReader(stream))
 		runtime.ReadMemStats(&after)
-		if allocated := after.TotalAlloc - before.TotalAlloc; err == nil || allocated > 2*allocateAtOnce {
+		if allocated := after.TotalAlloc - before.TotalAlloc; err == nil || allocated > 2*maxInitialAllocation {
 			t.Errorf("length %d: %v after %d bytes were allocated", length, err, allocated)
 		}
 	}
 }
 
 func TestALineTooLargeForAFrameIsRefused(t *testing.T) {
-	if _, err := FrameHeader(machine.Line{Wire: 1, Kind: "a", From: "b", Body: make([]byte, FrameMax)}); err == nil {
+	if _, err := EncodeFrameHeader(machine.Message{Version: 1, Kind: "a", From: "b", Body: make([]byte, MaxFrameSize)}); err == nil {
 		t.Error("a frame above the bound was made")
 	}
 }
--- a/daemon/transport/inbox.go
+++ b/daemon/transport/inbox.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	memberFramesMax  = 8192
-	memberBytesMax   = 512 << 20
-	requestFramesMax = 8192
-	requestBytesMax  = 64 << 20
+	maxClusterFrames = 8192
+	maxClusterBytes  = 512 << 20
+	maxRequestFrames = 8192
+	maxRequestBytes  = 64 << 20
 )
 
 // Item is one thing to be done: a received line, or a call of the process itself.
-type Item struct {
-	Line machine.Line
-	Call func()
+type QueueItem struct {
+	Message machine.Message
+	Call    func()
 }
 
 // Inbox holds what waits for the one goroutine that steps the machines. It gives
 // out frames of members first, then answers and calls, then requests; those that
 // have waited too long are dropped before anybody decodes them.
-type Inbox struct {
+type ReceiveQueue struct {
 	now      func() time.Duration
 	counters *Counters
 	ready    chan struct{}
@@ -31,140 +31,140 @@
 
 	mu       sync.Mutex
 	closed   bool
-	members  bounded
-	local    fifo[Item]
-	requests bounded
+	cluster  boundedQueue
+	local    fifo[QueueItem]
+	requests boundedQueue
 	// newest are the waiting requests that a later one of the same key replaces.
-	newest map[replaceKey]*received
+	latestByKey map[coalescingKey]*receivedMessage
 }
 
-type received struct {
-	line machine.Line
-	at   time.Duration
+type receivedMessage struct {
+	message    machine.Message
+	receivedAt time.Duration
 }
 
-type replaceKey struct{ kind, from, key string }
+type coalescingKey struct{ kind, from, key string }
 
 // bounded is a queue of received frames that knows their bytes.
-type bounded struct {
-	fifo[*received]
+type boundedQueue struct {
+	fifo[*receivedMessage]
 	bytes int
 }
 
-func (b *bounded) add(frame *received) {
+func (b *boundedQueue) enqueue(frame *receivedMessage) {
 	b.push(frame)
-	b.bytes += len(frame.line.Body)
+	b.bytes += len(frame.message.Body)
 }
 
-func (b *bounded) take() *received {
+func (b *boundedQueue) dequeue() *receivedMessage {
 	frame := b.pop()
-	b.bytes -= len(frame.line.Body)
+	b.bytes -= len(frame.message.Body)
 	return frame
 }
 
-func (b *bounded) full(more, framesMax, bytesMax int) bool {
-	return b.len() > 0 && (b.len() >= framesMax || b.bytes+more > bytesMax)
+func (b *boundedQueue) isFull(additionalBytes, maxFrames, maxBytes int) bool {
+	return b.len() > 0 && (b.len() >= maxFrames || b.bytes+additionalBytes > maxBytes)
 }
 
 // NewInbox gives an empty inbox; now is a monotonic clock.
-func NewInbox(now func() time.Duration, counters *Counters) *Inbox {
+func NewReceiveQueue(now func() time.Duration, counters *Counters) *ReceiveQueue {
 	timer := time.NewTimer(time.Hour)
 	timer.Stop()
-	return &Inbox{
+	return &ReceiveQueue{
 		now: now, counters: counters, ready: make(chan struct{}, 1), timer: timer,
-		newest: map[replaceKey]*received{},
+		latestByKey: map[coalescingKey]*receivedMessage{},
 	}
 }
 
 // Close makes Call refuse, and ends a wait.
-func (b *Inbox) Close() {
+func (b *ReceiveQueue) Close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
-	notify(b.ready)
+	signal(b.ready)
 }
 
 // Put adds a received line. It never blocks: a full queue drops its oldest frame.
-func (b *Inbox) Put(line machine.Line) {
-	b.counters.received(line.Kind, len(line.Body))
-	frame := &received{line, b.now()}
+func (b *ReceiveQueue) Enqueue(message machine.Message) {
+	b.counters.received(message.Kind, len(message.Body))
+	frame := &receivedMessage{message, b.now()}
 	b.mu.Lock()
-	switch TrafficOf(line.Kind).Urgency {
-	case Member:
-		for b.members.full(len(line.Body), memberFramesMax, memberBytesMax) {
-			b.drop(b.members.take(), Overflow)
+	switch ClassOf(message.Kind).Priority {
+	case PriorityCluster:
+		for b.cluster.isFull(len(message.Body), maxClusterFrames, maxClusterBytes) {
+			b.drop(b.cluster.dequeue(), DropOverflow)
 		}
-		b.members.add(frame)
-	case Answer:
-		b.local.push(Item{Line: line})
+		b.cluster.enqueue(frame)
+	case PriorityReply:
+		b.local.push(QueueItem{Message: message})
 	default:
-		b.putRequest(frame)
+		b.enqueueRequestLocked(frame)
 	}
 	b.mu.Unlock()
-	notify(b.ready)
+	signal(b.ready)
 }
 
-func (b *Inbox) putRequest(frame *received) {
-	key := replaceKey{frame.line.Kind, frame.line.From, frame.line.Key}
-	if waiting, ok := b.newest[key]; ok {
+func (b *ReceiveQueue) enqueueRequestLocked(frame *receivedMessage) {
+	key := coalescingKey{frame.message.Kind, frame.message.From, frame.message.CoalescingKey}
+	if waiting, ok := b.latestByKey[key]; ok {
 		// The newer report takes the older one's place in the queue.
-		b.drop(waiting, Replaced)
-		b.requests.bytes += len(frame.line.Body) - len(waiting.line.Body)
+		b.drop(waiting, DropReplaced)
+		b.requests.bytes += len(frame.message.Body) - len(waiting.message.Body)
 		*waiting = *frame
 		return
 	}
-	for b.requests.full(len(frame.line.Body), requestFramesMax, requestBytesMax) {
-		b.drop(b.takeRequest(), Overflow)
+	for b.requests.isFull(len(frame.message.Body), maxRequestFrames, maxRequestBytes) {
+		b.drop(b.dequeueRequestLocked(), DropOverflow)
 	}
-	b.requests.add(frame)
+	b.requests.enqueue(frame)
 	if key.key != "" {
-		b.newest[key] = frame
+		b.latestByKey[key] = frame
 	}
 }
 
-func (b *Inbox) takeRequest() *received {
-	frame := b.requests.take()
-	if frame.line.Key != "" {
-		delete(b.newest, replaceKey{frame.line.Kind, frame.line.From, frame.line.Key})
+func (b *ReceiveQueue) dequeueRequestLocked() *receivedMessage {
+	frame := b.requests.dequeue()
+	if frame.message.CoalescingKey != "" {
+		delete(b.latestByKey, coalescingKey{frame.message.Kind, frame.message.From, frame.message.CoalescingKey})
 	}
 	return frame
 }
 
-func (b *Inbox) drop(frame *received, why Reason) {
-	b.counters.dropped(Drop{Kind: frame.line.Kind, Reason: why})
+func (b *ReceiveQueue) drop(frame *receivedMessage, why DropReason) {
+	b.counters.dropped(DropKey{Kind: frame.message.Kind, Reason: why})
 }
 
 // Call has a function called between two steps, and says whether it will be.
-func (b *Inbox) Call(call func()) bool {
+func (b *ReceiveQueue) EnqueueCall(call func()) bool {
 	b.mu.Lock()
 	closed := b.closed
 	if !closed {
-		b.local.push(Item{Call: call})
+		b.local.push(QueueItem{Call: call})
 	}
 	b.mu.Unlock()
-	notify(b.ready)
+	signal(b.ready)
 	return !closed
 }
 
 // TakeMember gives the next frame of a member, if one waits.
-func (b *Inbox) TakeMember() (machine.Line, bool) {
+func (b *ReceiveQueue) DequeueCluster() (machine.Message, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.takeMember()
+	return b.dequeueClusterLocked()
 }
 
-func (b *Inbox) takeMember() (machine.Line, bool) {
-	if b.members.len() == 0 {
-		return machine.Line{}, false
+func (b *ReceiveQueue) dequeueClusterLocked() (machine.Message, bool) {
+	if b.cluster.len() == 0 {
+		return machine.Message{}, false
 	}
-	frame := b.members.take()
-	b.counters.waited(b.now() - frame.at)
-	return frame.line, true
+	frame := b.cluster.dequeue()
+	b.counters.waited(b.now() - frame.receivedAt)
+	return frame.message, true
 }
 
 // Take gives the most urgent item, and waits for one if there is none.
-func (b *Inbox) Take(wait time.Duration) (Item, bool) {
-	if item, ok := b.next(); ok || wait <= 0 {
+func (b *ReceiveQueue) Dequeue(wait time.Duration) (QueueItem, bool) {
+	if item, ok := b.tryDequeue(); ok || wait <= 0 {
 		return item, ok
 	}
 	b.timer.Reset(wait)
@@ -173,30 +173,30 @@
 		b.timer.Stop()
 	case <-b.timer.C:
 	}
-	return b.next()
+	return b.tryDequeue()
 }
 
-func (b *Inbox) next() (Item, bool) {
+func (b *ReceiveQueue) tryDequeue() (QueueItem, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if line, ok := b.takeMember(); ok {
-		return Item{Line: line}, true
+	if message, ok := b.dequeueClusterLocked(); ok {
+		return QueueItem{Message: message}, true
 	}
 	if b.local.len() > 0 {
 		return b.local.pop(), true
 	}
 	if b.requests.len() == 0 {
-		return Item{}, false
+		return QueueItem{}, false
 	}
 	now := b.now()
 	for b.requests.len() > 0 {
-		frame := b.takeRequest()
-		b.counters.waited(now - frame.at)
-		if limit := TrafficOf(frame.line.Kind).MaxWait; limit > 0 && now-frame.at > limit {
-			b.drop(frame, Expired)
+		frame := b.dequeueRequestLocked()
+		b.counters.waited(now - frame.receivedAt)
+		if limit := ClassOf(frame.message.Kind).MaxReceiveWait; limit > 0 && now-frame.receivedAt > limit {
+			b.drop(frame, DropExpired)
 			continue
 		}
-		return Item{Line: frame.line}, true
+		return QueueItem{Message: frame.message}, true
 	}
-	return Item{}, false
+	return QueueItem{}, false
 }
--- a/daemon/transport/inbox_test.go
+++ b/daemon/transport/inbox_test.go
@@ -14,20 +14,20 @@
 
 func (c *clock) now() time.Duration { return c.at }
 
-func newTestInbox() (*Inbox, *clock, *Counters) {
+func newTestQueue() (*ReceiveQueue, *clock, *Counters) {
 	c, counters := &clock{}, NewCounters()
-	return NewInbox(c.now, counters), c, counters
+	return NewReceiveQueue(c.now, counters), c, counters
 }
 
-func line(kind, from, key, body string) machine.Line {
-	return machine.Line{Wire: machine.WireSequence, Kind: kind, From: from, Key: key, Body: []byte(body)}
+func newMessage(kind, from, key, body string) machine.Message {
+	return machine.Message{Version: machine.ProtocolVersion, Kind: kind, From: from, CoalescingKey: key, Body: []byte(body)}
 }
 
 // drain takes all that waits and names each item by kind and body.
-func drain(b *Inbox) []string {
+func drain(b *ReceiveQueue) []string {
 	var taken []string
 	for {
-		item, ok := b.Take(0)
+		item, ok := b.Dequeue(0)
 		if !ok {
 			return taken
 		}
@@ -35,7 +35,7 @@
 			taken = append(taken, "call")
 			continue
 		}
-		taken = append(taken, item.Line.Kind+" "+string(item.Line.Body))
+		taken = append(taken, item.Message.Kind+" "+string(item.Message.Body))
 	}
 }
 
@@ -48,14 +48,14 @@
 
 func TestFramesOfMembersOvertakeQueuedRequests(t *testing.T) {
 	const requests = 5000
-	b, _, _ := newTestInbox()
+	b, _, _ := newTestQueue()
 	for i := range requests {
-		b.Put(line(wire.Command, "gateway", "", fmt.Sprint(i)))
+		b.Enqueue(newMessage(wire.KindCommand, "gateway", "", fmt.Sprint(i)))
 	}
-	b.Call(func() {})
-	b.Put(line(wire.BeatBack, "keeper", "", "a"))
-	b.Put(line(wire.Replicate, "keeper", "", "r"))
-	b.Put(line(wire.Accept, "keeper", "", "v"))
+	b.EnqueueCall(func() {})
+	b.Enqueue(newMessage(wire.KindHeartbeatReply, "keeper", "", "a"))
+	b.Enqueue(newMessage(wire.KindReplicate, "keeper", "", "r"))
+	b.Enqueue(newMessage(wire.KindAccept, "keeper", "", "v"))
 	taken := drain(b)
 	if len(taken) != requests+4 {
 		t.Fatalf("%d items were taken", len(taken))
@@ -64,24 +64,24 @@
 }
 
 func TestARequestThatWaitedTooLongIsNotGivenOut(t *testing.T) {
-	b, clock, counters := newTestInbox()
-	b.Put(line(wire.Command, "gateway", "", "old"))
-	b.Put(line(wire.Beat, "agent", "w", "old"))
-	b.Put(line(wire.Follow, "front", "", "kept"))
-	b.Put(line(wire.Replicate, "keeper", "", "kept"))
-	b.Put(line(wire.CommandBack, "keeper", "", "kept"))
+	b, clock, counters := newTestQueue()
+	b.Enqueue(newMessage(wire.KindCommand, "gateway", "", "old"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w", "old"))
+	b.Enqueue(newMessage(wire.KindSubscribe, "front", "", "kept"))
+	b.Enqueue(newMessage(wire.KindReplicate, "keeper", "", "kept"))
+	b.Enqueue(newMessage(wire.KindCommandReply, "keeper", "", "kept"))
 	clock.at = requestMaxAge + 1
-	b.Put(line(wire.Command, "gateway", "", "new"))
-	b.Put(line(wire.Beat, "agent", "w", "new"))
+	b.Enqueue(newMessage(wire.KindCommand, "gateway", "", "new"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w", "new"))
 	equal(t, drain(b), []string{"replicate kept", "command-back kept", "beat new", "follow kept", "command new"})
-	counts := counters.Take()
-	if got := counts.Dropped[Drop{Kind: wire.Command, Reason: Expired}]; got != 1 {
+	counts := counters.TakeAndReset()
+	if got := counts.Dropped[DropKey{Kind: wire.KindCommand, Reason: DropExpired}]; got != 1 {
 		t.Errorf("%d commands count as expired", got)
 	}
 	if counts.LongestWait != clock.at {
 		t.Errorf("the longest wait is %s", counts.LongestWait)
 	}
-	b.Put(line(wire.Command, "gateway", "", "in time"))
+	b.Enqueue(newMessage(wire.KindCommand, "gateway", "", "in time"))
 	clock.at += requestMaxAge
 	equal(t, drain(b), []string{"command in time"})
 }
@@ -89,41 +89,41 @@
 // TestTheNewestReportReplacesTheOneThatWaits: it takes its place in the queue, and
 // reports of other workers, also by the same sender, stand as they did.
 func TestTheNewestReportReplacesTheOneThatWaits(t *testing.T) {
-	b, _, counters := newTestInbox()
-	b.Put(line(wire.Beat, "agent", "w1", "first"))
-	b.Put(line(wire.Beat, "agent", "w2", "other worker"))
-	b.Put(line(wire.Beat, "agent 2", "w1", "other sender"))
-	b.Put(line(wire.Command, "gateway", "", "one"))
-	b.Put(line(wire.Command, "gateway", "", "two"))
-	b.Put(line(wire.Beat, "agent", "w1", "second, which is longer"))
+	b, _, counters := newTestQueue()
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w1", "first"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w2", "other worker"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent 2", "w1", "other sender"))
+	b.Enqueue(newMessage(wire.KindCommand, "gateway", "", "one"))
+	b.Enqueue(newMessage(wire.KindCommand, "gateway", "", "two"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w1", "second, which is longer"))
 	equal(t, drain(b), []string{
 		"beat second, which is longer", "beat other worker", "beat other sender", "command one", "command two",
 	})
-	if got := counters.Take().Dropped; len(got) != 1 || got[Drop{Kind: wire.Beat, Reason: Replaced}] != 1 {
+	if got := counters.TakeAndReset().Dropped; len(got) != 1 || got[DropKey{Kind: wire.KindHeartbeat, Reason: DropReplaced}] != 1 {
 		t.Errorf("dropped: %v", got)
 	}
-	b.Put(line(wire.Beat, "agent", "w1", "third"))
+	b.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w1", "third"))
 	equal(t, drain(b), []string{"beat third"})
-	if b.requests.bytes != 0 || len(b.newest) != 0 {
-		t.Errorf("%d bytes and %d keys are left of an empty queue", b.requests.bytes, len(b.newest))
+	if b.requests.bytes != 0 || len(b.latestByKey) != 0 {
+		t.Errorf("%d bytes and %d keys are left of an empty queue", b.requests.bytes, len(b.latestByKey))
 	}
 }
 
 func TestAFullQueueDropsItsOldestRequests(t *testing.T) {
 	const more = 3
-	b, _, counters := newTestInbox()
-	for i := range requestFramesMax + more {
-		b.Put(line(wire.Command, "gateway", "", fmt.Sprint(i)))
+	b, _, counters := newTestQueue()
+	for i := range maxRequestFrames + more {
+		b.Enqueue(newMessage(wire.KindCommand, "gateway", "", fmt.Sprint(i)))
 	}
-	if taken := drain(b); len(taken) != requestFramesMax || taken[0] != "command 3" {
+	if taken := drain(b); len(taken) != maxRequestFrames || taken[0] != "command 3" {
 		t.Errorf("%d were kept, first %s", len(taken), taken[0])
 	}
-	if got := counters.Take().Dropped[Drop{Kind: wire.Command, Reason: Overflow}]; got != more {
+	if got := counters.TakeAndReset().Dropped[DropKey{Kind: wire.KindCommand, Reason: DropOverflow}]; got != more {
 		t.Errorf("%d commands count as dropped", got)
 	}
-	large := string(make([]byte, requestBytesMax/2))
+	large := string(make([]byte, maxRequestBytes/2))
 	for _, name := range []string{"a", "b", "c"} {
-		b.Put(line(wire.News, "keeper", "", large+name))
+		b.Enqueue(newMessage(wire.KindFeedUpdate, "keeper", "", large+name))
 	}
 	if taken := drain(b); len(taken) != 1 {
 		t.Errorf("%d frames of over half the bound were kept", len(taken))
@@ -131,26 +131,26 @@
 }
 
 func TestAClosedInboxTakesNoCalls(t *testing.T) {
-	b, _, _ := newTestInbox()
+	b, _, _ := newTestQueue()
 	b.Close()
-	if b.Call(func() {}) {
+	if b.EnqueueCall(func() {}) {
 		t.Error("a call was taken")
 	}
 }
 
 func TestAWaitEndsWithTheNextFrame(t *testing.T) {
-	b, _, _ := newTestInbox()
-	taken := make(chan Item)
+	b, _, _ := newTestQueue()
+	taken := make(chan QueueItem)
 	go func() {
 		for {
-			if item, ok := b.Take(time.Hour); ok {
+			if item, ok := b.Dequeue(time.Hour); ok {
 				taken <- item
 				return
 			}
 		}
 	}()
-	b.Put(line(wire.Decided, "keeper", "", "x"))
-	if item := <-taken; item.Line.Kind != wire.Decided {
+	b.Enqueue(newMessage(wire.KindDecided, "keeper", "", "x"))
+	if item := <-taken; item.Message.Kind != wire.KindDecided {
 		t.Errorf("got %+v", item)
 	}
 }
--- a/daemon/transport/messages_test.go
+++ b/daemon/transport/messages_test.go
@@ -30,50 +30,50 @@
 
 // bodyOf gives the type of the body of each kind. Nothing sends found-view so far.
 var bodyOf = map[string]any{
-	wire.Shuffle:      wire.Gossip{},
-	wire.ShuffleBack:  wire.Gossip{},
-	wire.Nodes:        wire.Gossip{},
-	wire.Found:        wire.FoundBody{},
-	wire.FoundBack:    wire.FoundBody{},
-	wire.FoundView:    wire.FoundBody{},
-	wire.Prepare:      wire.RegisterBody{},
-	wire.PrepareBack:  wire.RegisterBody{},
-	wire.Accept:       wire.RegisterBody{},
-	wire.AcceptBack:   wire.RegisterBody{},
-	wire.Decided:      wire.RegisterBody{},
-	wire.Replicate:    wire.ReplicateBody{},
-	wire.ReplicateAck: wire.ReplicateAckBody{},
-	wire.Snapshot:     wire.SnapshotBody{},
-	wire.SnapshotAsk:  wire.SnapshotAskBody{},
-	wire.Command:      wire.CommandBody{},
-	wire.CommandBack:  wire.CommandBackBody{},
-	wire.Follow:       wire.FollowBody{},
-	wire.News:         wire.NewsBody{},
-	wire.Beat:         wire.BeatBody{},
-	wire.BeatBack:     wire.BeatBackBody{},
+	wire.KindShuffle:         wire.Gossip{},
+	wire.KindShuffleReply:    wire.Gossip{},
+	wire.KindNodeList:        wire.Gossip{},
+	wire.KindBootstrapProbe:  wire.BootstrapStatus{},
+	wire.KindBootstrapReply:  wire.BootstrapStatus{},
+	wire.KindBootstrapView:   wire.BootstrapStatus{},
+	wire.KindPrepare:         wire.PaxosMessage{},
+	wire.KindPrepareReply:    wire.PaxosMessage{},
+	wire.KindAccept:          wire.PaxosMessage{},
+	wire.KindAcceptReply:     wire.PaxosMessage{},
+	wire.KindDecided:         wire.PaxosMessage{},
+	wire.KindReplicate:       wire.ReplicateRequest{},
+	wire.KindReplicateAck:    wire.ReplicateAck{},
+	wire.KindSnapshotChunk:   wire.SnapshotChunk{},
+	wire.KindSnapshotRequest: wire.SnapshotRequest{},
+	wire.KindCommand:         wire.CommandRequest{},
+	wire.KindCommandReply:    wire.CommandReply{},
+	wire.KindSubscribe:       wire.SubscribeRequest{},
+	wire.KindFeedUpdate:      wire.FeedUpdate{},
+	wire.KindHeartbeat:       wire.HeartbeatRequest{},
+	wire.KindHeartbeatReply:  wire.HeartbeatReply{},
 }
 
 // partOf gives the part of a command that belongs to its kind.
 var partOf = map[string]func(to *ledger.Command, from ledger.Command){
-	ledger.KindAccept:      func(to *ledger.Command, from ledger.Command) { to.Accept = from.Accept },
-	ledger.KindBeat:        func(to *ledger.Command, from ledger.Command) { to.Beat = from.Beat },
-	ledger.KindGrant:       func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
-	ledger.KindPushOut:     func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
-	ledger.KindPlan:        func(to *ledger.Command, from ledger.Command) { to.Plan = from.Plan },
-	ledger.KindHello:       func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
-	ledger.KindMove:        func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
-	ledger.KindTake:        func(to *ledger.Command, from ledger.Command) { to.Hello = from.Hello },
-	ledger.KindRenew:       func(to *ledger.Command, from ledger.Command) { to.Renew = from.Renew },
-	ledger.KindCancel:      noPart,
-	ledger.KindSite:        noPart,
-	ledger.KindDrain:       noPart,
-	ledger.KindGone:        noPart,
-	ledger.KindTick:        noPart,
-	ledger.KindRead:        noPart,
-	ledger.KindReadCount:   noPart,
-	ledger.KindReadPlan:    noPart,
-	ledger.KindReadRequest: noPart,
-	ledger.KindProve:       noPart,
+	ledger.KindAcceptJob:          func(to *ledger.Command, from ledger.Command) { to.Job = from.Job },
+	ledger.KindHeartbeat:          func(to *ledger.Command, from ledger.Command) { to.Heartbeat = from.Heartbeat },
+	ledger.KindGrantLeases:        func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
+	ledger.KindPreempt:            func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
+	ledger.KindChangeConfig:       func(to *ledger.Command, from ledger.Command) { to.ConfigChange = from.ConfigChange },
+	ledger.KindSchedulerHeartbeat: func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	ledger.KindTransferLeadership: func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	ledger.KindTakeLeadership:     func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	ledger.KindRenewWorkers:       func(to *ledger.Command, from ledger.Command) { to.Renewals = from.Renewals },
+	ledger.KindCancelJob:          noPart,
+	ledger.KindDrainZone:          noPart,
+	ledger.KindDrainWorker:        noPart,
+	ledger.KindConfirmWorkerDead:  noPart,
+	ledger.KindTick:               noPart,
+	ledger.KindReadJob:            noPart,
+	ledger.KindReadWaitingCount:   noPart,
+	ledger.KindReadConfig:         noPart,
+	ledger.KindReadRequest:        noPart,
+	ledger.KindConfirmLeadership:  noPart,
 }
 
 func noPart(*ledger.Command, ledger.Command) {}
@@ -94,9 +94,9 @@
 		all = append(all, message{kind, kind, goldentest.Filled(t, body)}, message{kind + "-empty", kind, body})
 	}
 	for kind := range partOf {
-		body := goldentest.Filled(t, wire.CommandBody{}).(wire.CommandBody)
+		body := goldentest.Filled(t, wire.CommandRequest{}).(wire.CommandRequest)
 		body.Command = commandOf(t, kind)
-		all = append(all, message{"command-" + kind, wire.Command, body})
+		all = append(all, message{"command-" + kind, wire.KindCommand, body})
 	}
 	return append(all, carriers(t)...)
 }
@@ -107,8 +107,8 @@
 	filled := goldentest.Filled(t, ledger.Command{}).(ledger.Command)
 	cmd := filled
 	cmd.Kind = kind
-	cmd.Accept, cmd.Beat, cmd.Renew = ledger.JobSpec{}, ledger.Beat{}, nil
-	cmd.Grant, cmd.Plan, cmd.Hello = ledger.Grant{}, ledger.PlanChange{}, ledger.Hello{}
+	cmd.Job, cmd.Heartbeat, cmd.Renewals = ledger.JobSpec{}, ledger.Heartbeat{}, nil
+	cmd.Grant, cmd.ConfigChange, cmd.SchedulerHeartbeat = ledger.Grant{}, ledger.ConfigChange{}, ledger.SchedulerHeartbeat{}
 	partOf[kind](&cmd, filled)
 	return cmd
 }
@@ -118,37 +118,37 @@
 	t.Helper()
 	whole := ledger.Encode(goldentest.Filled(t, ledger.Command{}).(ledger.Command)).Encoded
 	commands := []json.RawMessage{whole, ledger.Encode(commandOf(t, ledger.KindTick)).Encoded}
-	replicate := goldentest.Filled(t, wire.ReplicateBody{}).(wire.ReplicateBody)
+	replicate := goldentest.Filled(t, wire.ReplicateRequest{}).(wire.ReplicateRequest)
 	replicate.Commands = commands
-	news := goldentest.Filled(t, wire.NewsBody{}).(wire.NewsBody)
+	news := goldentest.Filled(t, wire.FeedUpdate{}).(wire.FeedUpdate)
 	committed, records, bounced := news, news, news
-	committed.Commands, committed.Records, committed.Bounced, committed.Relayed = commands, nil, false, false
-	records.Commands, records.Bounced, records.Relayed = nil, false, false
+	committed.Commands, committed.Records, committed.Rejected, committed.Relayed = commands, nil, false, false
+	records.Commands, records.Rejected, records.Relayed = nil, false, false
 	bounced.Commands, bounced.Records, bounced.Relayed = nil, nil, false
 	relayed := committed
 	relayed.Relayed = true
-	snapshot := goldentest.Filled(t, wire.SnapshotBody{}).(wire.SnapshotBody)
+	snapshot := goldentest.Filled(t, wire.SnapshotChunk{}).(wire.SnapshotChunk)
 	snapshot.Records = machine.MustJSON(news.Records)
 	return []message{
-		{"replicate-commands", wire.Replicate, replicate},
-		{"news-commands", wire.News, committed},
-		{"news-relayed", wire.News, relayed},
-		{"news-records", wire.News, records},
-		{"news-bounced", wire.News, bounced},
-		{"snapshot-records", wire.Snapshot, snapshot},
+		{"replicate-commands", wire.KindReplicate, replicate},
+		{"news-commands", wire.KindFeedUpdate, committed},
+		{"news-relayed", wire.KindFeedUpdate, relayed},
+		{"news-records", wire.KindFeedUpdate, records},
+		{"news-bounced", wire.KindFeedUpdate, bounced},
+		{"snapshot-records", wire.KindSnapshotChunk, snapshot},
 	}
 }
 
 // encode gives a message's frame, made as a host makes it.
 func encode(t *testing.T, kind string, body any) []byte {
 	t.Helper()
-	send := machine.Send{Kind: kind, Body: body}
+	send := machine.OutgoingMessage{Kind: kind, Body: body}
 	data, err := send.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return frameOf(t, machine.Line{
-		Wire: machine.WireSequence, Kind: kind, From: sender, Key: send.Key(), Body: data,
+	return frameOf(t, machine.Message{
+		Version: machine.ProtocolVersion, Kind: kind, From: sender, CoalescingKey: send.CoalescingKey(), Body: data,
 	})
 }
 
@@ -159,48 +159,48 @@
 		t.Run(m.name, func(t *testing.T) {
 			path := filepath.Join(recordings, m.name+".frame")
 			frame := goldentest.File(t, path, encode(t, m.kind, m.body))
-			line, err := ReadFrame(bytes.NewReader(frame))
+			message, err := ReadFrame(bytes.NewReader(frame))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if line.Kind != m.kind || line.From != sender || line.Wire != machine.WireSequence {
-				t.Errorf("version %d, kind %s, sender %s", line.Wire, line.Kind, line.From)
+			if message.Kind != m.kind || message.From != sender || message.Version != machine.ProtocolVersion {
+				t.Errorf("version %d, kind %s, sender %s", message.Version, message.Kind, message.From)
 			}
-			checkBody(t, line, m.body)
-			content := goldentest.Indented(t, describe(t, line))
+			checkBody(t, message, m.body)
+			content := goldentest.Indented(t, describe(t, message))
 			goldentest.File(t, filepath.Join(recordings, m.name+".json"), content)
 		})
 	}
 }
 
 // checkBody reads a recorded body with the production decoder.
-func checkBody(t *testing.T, line machine.Line, want any) {
+func checkBody(t *testing.T, message machine.Message, want any) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
-	if err := machine.Unmarshal(line.Body, got.Interface()); err != nil {
+	if err := machine.Unmarshal(message.Body, got.Interface()); err != nil {
 		t.Fatal(err)
 	}
 	body := got.Elem().Interface()
 	if !reflect.DeepEqual(body, want) {
 		t.Errorf("the recording is read as\n%+v\nnot\n%+v", body, want)
 	}
-	if key := (machine.Send{Body: body}).Key(); key != line.Key {
-		t.Errorf("the key is %q, recorded %q", key, line.Key)
+	if key := (machine.OutgoingMessage{Body: body}).CoalescingKey(); key != message.CoalescingKey {
+		t.Errorf("the key is %q, recorded %q", key, message.CoalescingKey)
 	}
-	if again := machine.MustMarshal(body); !bytes.Equal(again, line.Body) {
-		t.Errorf("encoded again as\n%x\nrecorded as\n%x", again, line.Body)
+	if again := machine.MustMarshal(body); !bytes.Equal(again, message.Body) {
+		t.Errorf("encoded again as\n%x\nrecorded as\n%x", again, message.Body)
 	}
 }
 
 // describe gives a line's content by its encoded names alone.
-func describe(t *testing.T, line machine.Line) map[string]any {
+func describe(t *testing.T, message machine.Message) map[string]any {
 	t.Helper()
 	var body map[string]any
-	if err := machine.Unmarshal(line.Body, &body); err != nil {
+	if err := machine.Unmarshal(message.Body, &body); err != nil {
 		t.Fatal(err)
 	}
 	return map[string]any{
-		"version": line.Wire, "kind": line.Kind, "from": line.From, "key": line.Key, "body": plain(body),
+		"version": message.Version, "kind": message.Kind, "from": message.From, "key": message.CoalescingKey, "body": plain(body),
 	}
 }
 
--- a/daemon/transport/traffic.go
+++ b/daemon/transport/traffic.go
@@ -12,24 +12,24 @@
 
 const (
 	// Control has votes, acknowledgements and membership.
-	Control Channel = iota
+	ChannelControl Channel = iota
 	// Log has the replicated log with its heartbeats and snapshots, which count on their order.
-	Log
+	ChannelLog
 	// Bulk has all that passes between members and the other processes.
-	Bulk
+	ChannelBulk
 	channelCount
 )
 
 // Urgency is the order in which received frames are taken.
-type Urgency int
+type Priority int
 
 const (
 	// Member frames pass between the members of a cluster; they are always taken first.
-	Member Urgency = iota
+	PriorityCluster Priority = iota
 	// Answer frames end a request of this process.
-	Answer
+	PriorityReply
 	// Request frames are taken when nothing else waits, and expire.
-	Request
+	PriorityRequest
 )
 
 const (
@@ -40,41 +40,41 @@
 	defaultMaxAge = 2 * time.Second
 	// memberMaxAge is how long a frame to another member may wait; it would miss a
 	// heartbeat's purpose later.
-	memberMaxAge = time.Second
+	clusterMaxAge = time.Second
 )
 
 // Traffic is how the frames of one kind are handled. MaxWait bounds how long one
 // waits here once received; zero does not. SendWithin bounds it on the sending side.
-type Traffic struct {
-	Channel    Channel
-	Urgency    Urgency
-	MaxWait    time.Duration
-	SendWithin time.Duration
+type TrafficClass struct {
+	Channel        Channel
+	Priority       Priority
+	MaxReceiveWait time.Duration
+	MaxSendWait    time.Duration
 }
 
 var (
-	control = Traffic{Channel: Control, Urgency: Member, SendWithin: memberMaxAge}
-	log     = Traffic{Channel: Log, Urgency: Member, SendWithin: memberMaxAge}
-	answer  = Traffic{Channel: Bulk, Urgency: Answer, SendWithin: defaultMaxAge}
-	request = Traffic{Channel: Bulk, Urgency: Request, MaxWait: requestMaxAge, SendWithin: requestMaxAge}
-	other   = Traffic{Channel: Bulk, Urgency: Request, MaxWait: defaultMaxAge, SendWithin: defaultMaxAge}
+	controlClass = TrafficClass{Channel: ChannelControl, Priority: PriorityCluster, MaxSendWait: clusterMaxAge}
+	logClass     = TrafficClass{Channel: ChannelLog, Priority: PriorityCluster, MaxSendWait: clusterMaxAge}
+	replyClass   = TrafficClass{Channel: ChannelBulk, Priority: PriorityReply, MaxSendWait: defaultMaxAge}
+	requestClass = TrafficClass{Channel: ChannelBulk, Priority: PriorityRequest, MaxReceiveWait: requestMaxAge, MaxSendWait: requestMaxAge}
+	defaultClass = TrafficClass{Channel: ChannelBulk, Priority: PriorityRequest, MaxReceiveWait: defaultMaxAge, MaxSendWait: defaultMaxAge}
 )
 
-var traffic = map[string]Traffic{
-	wire.Shuffle: control, wire.ShuffleBack: control, wire.Nodes: control,
-	wire.Found: control, wire.FoundBack: control, wire.FoundView: control,
-	wire.Prepare: control, wire.PrepareBack: control, wire.Accept: control, wire.AcceptBack: control,
-	wire.Decided: control, wire.ReplicateAck: control, wire.SnapshotAsk: control,
-	wire.Replicate: log, wire.Snapshot: log,
-	wire.CommandBack: answer, wire.BeatBack: answer,
-	wire.Command: request, wire.Beat: request,
-	wire.Follow: other, wire.News: other,
+var classByKind = map[string]TrafficClass{
+	wire.KindShuffle: controlClass, wire.KindShuffleReply: controlClass, wire.KindNodeList: controlClass,
+	wire.KindBootstrapProbe: controlClass, wire.KindBootstrapReply: controlClass, wire.KindBootstrapView: controlClass,
+	wire.KindPrepare: controlClass, wire.KindPrepareReply: controlClass, wire.KindAccept: controlClass, wire.KindAcceptReply: controlClass,
+	wire.KindDecided: controlClass, wire.KindReplicateAck: controlClass, wire.KindSnapshotRequest: controlClass,
+	wire.KindReplicate: logClass, wire.KindSnapshotChunk: logClass,
+	wire.KindCommandReply: replyClass, wire.KindHeartbeatReply: replyClass,
+	wire.KindCommand: requestClass, wire.KindHeartbeat: requestClass,
+	wire.KindSubscribe: defaultClass, wire.KindFeedUpdate: defaultClass,
 }
 
 // TrafficOf says how frames of a kind are handled; an unknown kind is bulk.
-func TrafficOf(kind string) Traffic {
-	if t, ok := traffic[kind]; ok {
+func ClassOf(kind string) TrafficClass {
+	if t, ok := classByKind[kind]; ok {
 		return t
 	}
-	return other
+	return defaultClass
 }
--- a/daemon/transport/transport.go
+++ b/daemon/transport/transport.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	readBuffer = 64 << 10
+	readBufferSize = 64 << 10
 	// acceptPause is the time until the next try after a failed accept.
-	acceptPause = 100 * time.Millisecond
+	acceptRetryDelay = 100 * time.Millisecond
 	// closeWait is how long Close waits for what is still to be sent.
-	closeWait = 250 * time.Millisecond
+	closeTimeout = 250 * time.Millisecond
 	// reportEach is how often dropped frames are logged.
-	reportEach = 10 * time.Second
+	dropLogInterval = 10 * time.Second
 )
 
 // Transport is one process's end of all its connections.
 type Transport struct {
-	now      func() time.Duration
-	inbox    *Inbox
-	counters *Counters
-	listener net.Listener
-	closed   chan struct{}
+	now          func() time.Duration
+	receiveQueue *ReceiveQueue
+	counters     *Counters
+	listener     net.Listener
+	closed       chan struct{}
 
 	mu       sync.Mutex
 	outgoing map[destination]*connection
@@ -42,22 +42,22 @@
 }
 
 type destination struct {
-	to      string
+	address string
 	channel Channel
 }
 
 // Open listens on the address and puts every good frame into the inbox.
-func Open(address string, now func() time.Duration, inbox *Inbox, counters *Counters) (*Transport, error) {
+func Open(address string, now func() time.Duration, queue *ReceiveQueue, counters *Counters) (*Transport, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	t := &Transport{
-		now: now, inbox: inbox, counters: counters, listener: listener, closed: make(chan struct{}),
+		now: now, receiveQueue: queue, counters: counters, listener: listener, closed: make(chan struct{}),
 		outgoing: map[destination]*connection{}, incoming: map[net.Conn]bool{},
 	}
 	pool.Go(t.accept)
-	pool.Go(t.report)
+	pool.Go(t.logDrops)
 	return t, nil
 }
 
@@ -78,7 +78,7 @@
 	})
 	select {
 	case <-sent:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -100,8 +100,8 @@
 		case t.isClosed():
 			return
 		default:
-			logline.Event("accept_failed", "why", err.Error())
-			time.Sleep(acceptPause)
+			logline.Info("accept_failed", "why", err.Error())
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
@@ -121,26 +121,26 @@
 // read cuts frames out of a connection. It does nothing else, so that frames wait
 // in the inbox, where their age is known, and not in the socket.
 func (t *Transport) read(conn net.Conn) {
-	defer t.forget(conn)
-	reader := bufio.NewReaderSize(conn, readBuffer)
-	for known := false; ; {
-		line, err := ReadFrame(reader)
+	defer t.removeIncoming(conn)
+	reader := bufio.NewReaderSize(conn, readBufferSize)
+	for peerSignalled := false; ; {
+		message, err := ReadFrame(reader)
 		if err == io.EOF {
 			return
 		}
 		if err != nil {
-			logline.Event("connection_closed", "peer", conn.RemoteAddr().String(), "why", err.Error())
+			logline.Info("connection_closed", "peer", conn.RemoteAddr().String(), "why", err.Error())
 			return
 		}
-		if !known {
-			known = true
-			t.heardFrom(line.From)
+		if !peerSignalled {
+			peerSignalled = true
+			t.signalPeerHeard(message.From)
 		}
-		t.inbox.Put(line)
+		t.receiveQueue.Enqueue(message)
 	}
 }
 
-func (t *Transport) forget(conn net.Conn) {
+func (t *Transport) removeIncoming(conn net.Conn) {
 	conn.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,56 +148,56 @@
 }
 
 // heardFrom has a peer dialled at once that could not be reached before.
-func (t *Transport) heardFrom(peer string) {
+func (t *Transport) signalPeerHeard(peer string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for channel := range channelCount {
 		if c, ok := t.outgoing[destination{peer, channel}]; ok {
-			notify(c.heard)
+			signal(c.peerHeard)
 		}
 	}
 }
 
 // Send queues a line for a peer. It never blocks; the body must not be changed.
-func (t *Transport) Send(to string, line machine.Line) {
-	header, err := FrameHeader(line)
+func (t *Transport) Send(to string, message machine.Message) {
+	header, err := EncodeFrameHeader(message)
 	if err != nil {
-		logline.Event("line_unsendable", "kind", line.Kind, "why", err.Error())
+		logline.Info("line_unsendable", "kind", message.Kind, "why", err.Error())
 		return
 	}
-	at := destination{to, TrafficOf(line.Kind).Channel}
+	target := destination{to, ClassOf(message.Kind).Channel}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.isClosed() {
 		return
 	}
-	c, ok := t.outgoing[at]
+	c, ok := t.outgoing[target]
 	if !ok {
 		c = newConnection(to, t.now, t.counters, t.closed)
-		t.outgoing[at] = c
+		t.outgoing[target] = c
 		t.senders.Add(1)
 		pool.Go(func() {
 			defer t.senders.Done()
-			c.run(func() bool { return t.retire(at, c) })
+			c.run(func() bool { return t.retire(target, c) })
 		})
 	}
-	c.push(line, header)
+	c.push(message, header)
 }
 
 // retire forgets a connection that has nothing to send.
-func (t *Transport) retire(at destination, c *connection) bool {
+func (t *Transport) retire(target destination, c *connection) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !c.empty() {
 		return false
 	}
-	delete(t.outgoing, at)
+	delete(t.outgoing, target)
 	return true
 }
 
 // report logs the counters every while in which frames were dropped.
-func (t *Transport) report() {
-	ticker := time.NewTicker(reportEach)
+func (t *Transport) logDrops() {
+	ticker := time.NewTicker(dropLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -205,8 +205,8 @@
 			return
 		case <-ticker.C:
 		}
-		if counts := t.counters.Take(); len(counts.Dropped) > 0 {
-			logline.Event("frames_dropped", counts.Fields()...)
+		if counts := t.counters.TakeAndReset(); len(counts.Dropped) > 0 {
+			logline.Info("frames_dropped", counts.Fields()...)
 		}
 	}
 }
--- a/daemon/transport/transport_test.go
+++ b/daemon/transport/transport_test.go
@@ -14,38 +14,38 @@
 	"sorrelloom/core/wire"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-type end struct {
+type endpoint struct {
 	*Transport
-	address string
-	inbox   *Inbox
+	address      string
+	receiveQueue *ReceiveQueue
 }
 
-func open(t *testing.T) end {
+func open(t *testing.T) endpoint {
 	t.Helper()
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
 	counters := NewCounters()
-	inbox := NewInbox(now, counters)
-	tr, err := Open("127.0.0.1:0", now, inbox, counters)
+	queue := NewReceiveQueue(now, counters)
+	tr, err := Open("127.0.0.1:0", now, queue, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(tr.Close)
-	return end{tr, tr.listener.Addr().String(), inbox}
+	return endpoint{tr, tr.listener.Addr().String(), queue}
 }
 
 // take waits for the next line that arrives.
-func (e end) take(t *testing.T) machine.Line {
+func (e endpoint) receive(t *testing.T) machine.Message {
 	t.Helper()
-	for until := time.Now().Add(patience); time.Now().Before(until); {
-		if item, ok := e.inbox.Take(time.Until(until)); ok {
-			return item.Line
+	for until := time.Now().Add(testTimeout); time.Now().Before(until); {
+		if item, ok := e.receiveQueue.Dequeue(time.Until(until)); ok {
+			return item.Message
 		}
 	}
 	t.Fatal("no line came")
-	return machine.Line{}
+	return machine.Message{}
 }
 
 func dial(t *testing.T, address string) net.Conn {
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return conn
@@ -77,15 +77,15 @@
 func TestLinesComeInOrderBothWays(t *testing.T) {
 	a, b := open(t), open(t)
 	for i := range 50 {
-		a.Send(b.address, line(wire.Replicate, a.address, "", fmt.Sprint(i)))
+		a.Send(b.address, newMessage(wire.KindReplicate, a.address, "", fmt.Sprint(i)))
 	}
 	for i := range 50 {
-		if got := b.take(t); string(got.Body) != fmt.Sprint(i) || got.From != a.address || got.Kind != wire.Replicate {
+		if got := b.receive(t); string(got.Body) != fmt.Sprint(i) || got.From != a.address || got.Kind != wire.KindReplicate {
 			t.Fatalf("got %+v, want %d", got, i)
 		}
 	}
-	b.Send(a.address, line("back", b.address, "", ""))
-	if got := a.take(t); got.Kind != "back" {
+	b.Send(a.address, newMessage("back", b.address, "", ""))
+	if got := a.receive(t); got.Kind != "back" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -103,12 +103,12 @@
 		fmt.Fprint(conn, rubbish)
 		awaitClose(t, conn)
 	}
-	later := line("later", "127.0.0.1:1", "", "x")
-	later.Wire = 9
+	later := newMessage("later", "127.0.0.1:1", "", "x")
+	later.Version = 9
 	if err := WriteFrame(other, later); err != nil {
 		t.Fatal(err)
 	}
-	if got := e.take(t); got.Kind != "later" || got.Wire != 9 || got.From != "127.0.0.1:1" {
+	if got := e.receive(t); got.Kind != "later" || got.Version != 9 || got.From != "127.0.0.1:1" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -117,7 +117,7 @@
 // the same answer on a new connection then comes whole, and once.
 func TestAConnectionResetInAFrameDeliversNothing(t *testing.T) {
 	e := open(t)
-	answer := line(wire.CommandBack, "keeper", "", "answer to 1")
+	answer := newMessage(wire.KindCommandReply, "keeper", "", "answer to 1")
 	whole := frameOf(t, answer)
 	for length := range whole {
 		conn := dial(t, e.address).(*net.TCPConn)
@@ -135,10 +135,10 @@
 	if err := WriteFrame(dial(t, e.address), answer); err != nil {
 		t.Fatal(err)
 	}
-	if got := e.take(t); string(got.Body) != "answer to 1" {
+	if got := e.receive(t); string(got.Body) != "answer to 1" {
 		t.Errorf("got %+v", got)
 	}
-	if got := e.counters.Take().Received[wire.CommandBack].Frames; got != 1 {
+	if got := e.counters.TakeAndReset().Received[wire.KindCommandReply].Frames; got != 1 {
 		t.Errorf("%d frames were delivered", got)
 	}
 }
@@ -147,8 +147,8 @@
 // while another has come by half on the old one.
 func TestAnswersOnTwoConnectionsOfAPeerDoNotMix(t *testing.T) {
 	e := open(t)
-	first := frameOf(t, line(wire.CommandBack, "keeper", "", "answer to 1"))
-	second := frameOf(t, line(wire.CommandBack, "keeper", "", "answer to 2"))
+	first := frameOf(t, newMessage(wire.KindCommandReply, "keeper", "", "answer to 1"))
+	second := frameOf(t, newMessage(wire.KindCommandReply, "keeper", "", "answer to 2"))
 	before, after := dial(t, e.address), dial(t, e.address)
 	for _, part := range []struct {
 		conn net.Conn
@@ -165,7 +165,7 @@
 		if part.want == "" {
 			continue
 		}
-		if got := e.take(t); string(got.Body) != part.want || got.From != "keeper" {
+		if got := e.receive(t); string(got.Body) != part.want || got.From != "keeper" {
 			t.Errorf("got %+v, want %s", got, part.want)
 		}
 	}
@@ -173,14 +173,14 @@
 
 // deafPeer reads frames of members, and nothing more of a connection once it has
 // read a request from it.
-func deafPeer(t *testing.T) (address string, members chan machine.Line) {
+func nonReadingPeer(t *testing.T) (address string, members chan machine.Message) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	members = make(chan machine.Line, 100)
+	members = make(chan machine.Message, 100)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -192,7 +192,7 @@
 				reader := bufio.NewReader(conn)
 				for {
 					got, err := ReadFrame(reader)
-					if err != nil || TrafficOf(got.Kind).Urgency != Member {
+					if err != nil || ClassOf(got.Kind).Priority != PriorityCluster {
 						return
 					}
 					members <- got
@@ -207,14 +207,14 @@
 // into sockets and queues. Its own heartbeats still come through, and others notice nothing.
 func TestAPeerThatDoesNotReadDelaysNobody(t *testing.T) {
 	me, other := open(t), open(t)
-	deaf, members := deafPeer(t)
+	deaf, members := nonReadingPeer(t)
 	body := string(make([]byte, 1<<20))
 	for range 64 {
-		me.Send(deaf, line(wire.CommandBack, me.address, "", body))
+		me.Send(deaf, newMessage(wire.KindCommandReply, me.address, "", body))
 	}
-	me.Send(deaf, line(wire.Replicate, me.address, "", "heartbeat"))
-	me.Send(other.address, line(wire.CommandBack, me.address, "", "small"))
-	if got := other.take(t); string(got.Body) != "small" {
+	me.Send(deaf, newMessage(wire.KindReplicate, me.address, "", "heartbeat"))
+	me.Send(other.address, newMessage(wire.KindCommandReply, me.address, "", "small"))
+	if got := other.receive(t); string(got.Body) != "small" {
 		t.Errorf("the other peer got %s", got.Kind)
 	}
 	select {
@@ -222,11 +222,11 @@
 		if string(got.Body) != "heartbeat" {
 			t.Errorf("the deaf peer got %s", got.Kind)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the heartbeat waits behind what is not read")
 	}
-	overflow := Drop{Kind: wire.CommandBack, Outgoing: true, Reason: Overflow}
-	if me.counters.Take().Dropped[overflow] == 0 {
+	overflow := DropKey{Kind: wire.KindCommandReply, Outgoing: true, Reason: DropOverflow}
+	if me.counters.TakeAndReset().Dropped[overflow] == 0 {
 		t.Error("all 64 MB are kept for a peer that does not read")
 	}
 }
@@ -239,24 +239,24 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	me.Send(address, line(wire.Snapshot, me.address, "", string(make([]byte, 32<<20))))
+	me.Send(address, newMessage(wire.KindSnapshotChunk, me.address, "", string(make([]byte, 32<<20))))
 	first, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	me.Send(address, line(wire.Accept, me.address, "", "vote"))
+	me.Send(address, newMessage(wire.KindAccept, me.address, "", "vote"))
 	second, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	second.SetDeadline(time.Now().Add(patience))
-	if got, err := ReadFrame(second); err != nil || got.Kind != wire.Accept {
+	second.SetDeadline(time.Now().Add(testTimeout))
+	if got, err := ReadFrame(second); err != nil || got.Kind != wire.KindAccept {
 		t.Errorf("got kind %q, %v", got.Kind, err)
 	}
 }
@@ -270,7 +270,7 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	me.Send(address, line(wire.Replicate, me.address, "", "early"))
+	me.Send(address, newMessage(wire.KindReplicate, me.address, "", "early"))
 	if listener, err = net.Listen("tcp", address); err != nil {
 		t.Fatal(err)
 	}
@@ -283,17 +283,17 @@
 	}()
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
-	for over := time.After(patience); ; {
+	for over := time.After(testTimeout); ; {
 		select {
 		case conn := <-accepted:
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(patience))
-			if got, err := ReadFrame(conn); err != nil || got.Kind != wire.Replicate {
+			conn.SetDeadline(time.Now().Add(testTimeout))
+			if got, err := ReadFrame(conn); err != nil || got.Kind != wire.KindReplicate {
 				t.Errorf("got kind %q, %v", got.Kind, err)
 			}
 			return
 		case <-ticker.C:
-			me.Send(address, line(wire.Replicate, me.address, "", "again"))
+			me.Send(address, newMessage(wire.KindReplicate, me.address, "", "again"))
 		case <-over:
 			t.Fatal("the peer was not dialled again")
 		}
@@ -301,17 +301,17 @@
 }
 
 func TestAClosedTransportSendsNothing(t *testing.T) {
-	inbox, clock, counters := newTestInbox()
-	tr, err := Open("127.0.0.1:0", clock.now, inbox, counters)
+	queue, clock, counters := newTestQueue()
+	tr, err := Open("127.0.0.1:0", clock.now, queue, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn := dial(t, tr.listener.Addr().String())
-	if err := WriteFrame(conn, line(wire.Beat, "agent", "", "")); err != nil {
+	if err := WriteFrame(conn, newMessage(wire.KindHeartbeat, "agent", "", "")); err != nil {
 		t.Fatal(err)
 	}
 	tr.Close()
-	tr.Send("127.0.0.1:1", line(wire.Beat, "me", "", ""))
+	tr.Send("127.0.0.1:1", newMessage(wire.KindHeartbeat, "me", "", ""))
 	if _, err := io.Copy(io.Discard, conn); isTimeout(err) {
 		t.Error("a connection stays open")
 	}
@@ -324,17 +324,17 @@
 // those that hand its lead over.
 func TestCloseSendsWhatWaits(t *testing.T) {
 	other := open(t)
-	inbox, clock, counters := newTestInbox()
-	me, err := Open("127.0.0.1:0", clock.now, inbox, counters)
+	queue, clock, counters := newTestQueue()
+	me, err := Open("127.0.0.1:0", clock.now, queue, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 50 {
-		me.Send(other.address, line(wire.Replicate, "me", "", fmt.Sprint(i)))
+		me.Send(other.address, newMessage(wire.KindReplicate, "me", "", fmt.Sprint(i)))
 	}
 	me.Close()
 	for i := range 50 {
-		if got := other.take(t); string(got.Body) != fmt.Sprint(i) {
+		if got := other.receive(t); string(got.Body) != fmt.Sprint(i) {
 			t.Fatalf("got %s, want %d", got.Body, i)
 		}
 	}
--- a/daemon/web/web.go
+++ b/daemon/web/web.go
@@ -30,8 +30,8 @@
 // A body over bodyMax is bounced with its code; over hardMax hertz closes the
 // connection before it is read whole.
 const (
-	bodyMax = 4 << 20
-	hardMax = 16 << 20
+	maxBodyBytes = 4 << 20
+	maxReadBytes = 16 << 20
 )
 
 // Gauge is one number on the metrics page, read when it is asked for.
@@ -41,7 +41,7 @@
 }
 
 // Page is what a daemon shows of itself.
-type Page struct {
+type Diagnostics struct {
 	Ready  func() bool
 	Status func() any
 	Gauges []Gauge
@@ -50,28 +50,28 @@
 // Server is an HTTP server that is not yet running.
 type Server struct{ engine *server.Hertz }
 
-func New(listener net.Listener, page Page) *Server {
+func New(listener net.Listener, page Diagnostics) *Server {
 	hlog.SetLevel(hlog.LevelFatal)
-	h := server.New(server.WithListener(listener), server.WithHostPorts(listener.Addr().String()), server.WithMaxRequestBodySize(hardMax),
+	h := server.New(server.WithListener(listener), server.WithHostPorts(listener.Addr().String()), server.WithMaxRequestBodySize(maxReadBytes),
 		server.WithDisablePrintRoute(true), server.WithExitWaitTime(time.Second), server.WithHandleMethodNotAllowed(true),
 		server.WithIdleTimeout(time.Minute), server.WithReadTimeout(time.Minute))
 	registry := prometheus.NewRegistry()
 	for _, g := range page.Gauges {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "sorrelloom", Name: g.Name, Help: g.Help}, g.Read))
 	}
-	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { plain(c, 200, map[string]string{"state": "alive"}) })
+	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { writeJSON(c, 200, map[string]string{"state": "alive"}) })
 	h.GET("/readyz", func(_ context.Context, c *app.RequestContext) {
 		if page.Ready() {
-			plain(c, 200, map[string]string{"state": "ready"})
+			writeJSON(c, 200, map[string]string{"state": "ready"})
 		} else {
-			plain(c, 503, map[string]string{"state": "not ready"})
+			writeJSON(c, 503, map[string]string{"state": "not ready"})
 		}
 	})
-	h.GET("/status", func(_ context.Context, c *app.RequestContext) { plain(c, 200, page.Status()) })
+	h.GET("/status", func(_ context.Context, c *app.RequestContext) { writeJSON(c, 200, page.Status()) })
 	h.GET("/metrics", adaptor.HertzHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})))
-	h.NoRoute(func(_ context.Context, c *app.RequestContext) { fail(c, code.UnknownName, "no such path") })
+	h.NoRoute(func(_ context.Context, c *app.RequestContext) { writeError(c, code.UnknownName, "no such path") })
 	h.NoMethod(func(_ context.Context, c *app.RequestContext) {
-		fail(c, code.UnknownName, "no such method on this path")
+		writeError(c, code.UnknownName, "no such method on this path")
 	})
 	return &Server{h}
 }
@@ -79,14 +79,14 @@
 func (s *Server) Run() {
 	pool.Go(func() {
 		if err := s.engine.Run(); err != nil {
-			logline.Event("http_ended", "why", err.Error())
+			logline.Info("http_ended", "why", err.Error())
 		}
 	})
 }
 
 func (s *Server) Close(ctx context.Context) { s.engine.Shutdown(ctx) }
 
-func plain(c *app.RequestContext, status int, body any) {
+func writeJSON(c *app.RequestContext, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		status, data = 500, []byte(`{"code":900}`)
@@ -94,72 +94,72 @@
 	c.Data(status, "application/json", append(data, '\n'))
 }
 
-func fail(c *app.RequestContext, reason code.Code, why string) {
-	plain(c, reason.Status(), front.Outcome{Code: reason, Name: reason.String(), Why: why})
+func writeError(c *app.RequestContext, reason code.Code, why string) {
+	writeJSON(c, reason.HTTPStatus(), front.Outcome{Code: reason, Name: reason.String(), Reason: why})
 }
 
 // Route is one call of the API; the table is what docs/api.md is checked with.
 type Route struct {
 	Method, Path, Kind string
-	On                 bool
+	Enable             bool
 }
 
 var Routes = []Route{
-	{"POST", "/v1/jobs", front.Submit, false},
-	{"GET", "/v1/jobs", front.Jobs, false},
-	{"GET", "/v1/jobs/:name", front.Status, false},
-	{"DELETE", "/v1/jobs/:name", front.Cancel, false},
-	{"POST", "/v1/beats", front.Beat, false},
-	{"GET", "/v1/plan", front.PlanGet, false},
-	{"PUT", "/v1/plan", front.PlanPut, false},
-	{"PATCH", "/v1/plan", front.PlanPatch, false},
-	{"POST", "/v1/plan/check", front.PlanCheck, false},
-	{"POST", "/v1/sites/:name/empty", front.Site, true},
-	{"POST", "/v1/sites/:name/refill", front.Site, false},
-	{"GET", "/v1/workers", front.Workers, false},
-	{"POST", "/v1/workers/:name/drain", front.Drain, true},
-	{"POST", "/v1/workers/:name/undrain", front.Drain, false},
-	{"POST", "/v1/workers/:name/gone", front.Gone, true},
-	{"GET", "/v1/nodes", front.Nodes, false},
-	{"GET", "/v1/duties", front.Duties, false},
-	{"POST", "/v1/duties/:name/pass", front.Pass, false},
+	{"POST", "/v1/jobs", front.RequestSubmit, false},
+	{"GET", "/v1/jobs", front.RequestJobs, false},
+	{"GET", "/v1/jobs/:name", front.RequestStatus, false},
+	{"DELETE", "/v1/jobs/:name", front.RequestCancel, false},
+	{"POST", "/v1/beats", front.RequestHeartbeat, false},
+	{"GET", "/v1/plan", front.RequestConfigGet, false},
+	{"PUT", "/v1/plan", front.RequestConfigPut, false},
+	{"PATCH", "/v1/plan", front.RequestConfigPatch, false},
+	{"POST", "/v1/plan/check", front.RequestConfigCheck, false},
+	{"POST", "/v1/sites/:name/empty", front.RequestDrainZone, true},
+	{"POST", "/v1/sites/:name/refill", front.RequestDrainZone, false},
+	{"GET", "/v1/workers", front.RequestWorkers, false},
+	{"POST", "/v1/workers/:name/drain", front.RequestDrainWorker, true},
+	{"POST", "/v1/workers/:name/undrain", front.RequestDrainWorker, false},
+	{"POST", "/v1/workers/:name/gone", front.RequestConfirmDead, true},
+	{"GET", "/v1/nodes", front.RequestNodes, false},
+	{"GET", "/v1/duties", front.RequestLeaderships, false},
+	{"POST", "/v1/duties/:name/pass", front.RequestMoveLeadership, false},
 }
 
 // API serves the routes from a front's shard.
-func (s *Server) API(shard *host.Shard) {
+func (s *Server) ServeAPI(shard *host.Runner) {
 	for _, route := range Routes {
 		s.engine.Handle(route.Method, route.Path, func(ctx context.Context, c *app.RequestContext) {
-			if len(c.Request.Body()) > bodyMax {
-				fail(c, code.TooLarge, fmt.Sprintf("the body has %d bytes, %d are taken", len(c.Request.Body()), bodyMax))
+			if len(c.Request.Body()) > maxBodyBytes {
+				writeError(c, code.TooLarge, fmt.Sprintf("the body has %d bytes, %d are taken", len(c.Request.Body()), maxBodyBytes))
 				return
 			}
-			ask, err := read(c, route)
+			ask, err := parseRequest(c, route)
 			if err != nil {
-				fail(c, code.Malformed, err.Error())
+				writeError(c, code.Malformed, err.Error())
 				return
 			}
-			v, ok := shard.Ask(ctx, ask)
+			v, ok := shard.Do(ctx, ask)
 			reply, good := v.(front.Reply)
 			if !ok || !good {
-				fail(c, code.Internal, "the front gave no answer")
+				writeError(c, code.Internal, "the front gave no answer")
 				return
 			}
 			if reply.RetryAfter > 0 {
 				c.Header("Retry-After", strconv.Itoa(int(math.Ceil(reply.RetryAfter.Seconds()))))
 			}
-			plain(c, reply.Status, reply.Body)
+			writeJSON(c, reply.StatusCode, reply.Body)
 		})
 	}
 }
 
 // valid is a caller's text as UTF-8, which all text between processes must be.
-func valid(text string) string { return strings.ToValidUTF8(text, "\uFFFD") }
+func validUTF8(text string) string { return strings.ToValidUTF8(text, "\uFFFD") }
 
-func read(c *app.RequestContext, route Route) (machine.Ask, error) {
-	ask := machine.Ask{Kind: route.Kind, On: route.On, Name: valid(c.Param("name")), To: valid(c.Query("to"))}
-	ask.Token = valid(string(c.GetHeader("Idempotency-Key")))
-	if len(ask.Token) > 128 {
-		return ask, fmt.Errorf("Idempotency-Key: %d characters, 128 are taken", len(ask.Token))
+func parseRequest(c *app.RequestContext, route Route) (machine.Request, error) {
+	ask := machine.Request{Kind: route.Kind, Enable: route.Enable, Name: validUTF8(c.Param("name")), Target: validUTF8(c.Query("to"))}
+	ask.IdempotencyKey = validUTF8(string(c.GetHeader("Idempotency-Key")))
+	if len(ask.IdempotencyKey) > 128 {
+		return ask, fmt.Errorf("Idempotency-Key: %d characters, 128 are taken", len(ask.IdempotencyKey))
 	}
 	ask.Body = append(json.RawMessage(nil), c.Request.Body()...)
 	for _, name := range []string{"wait", "hold"} {
@@ -176,9 +176,9 @@
 		if err != nil {
 			return ask, fmt.Errorf("?base: %q is not a plan sequence", text)
 		}
-		ask.Base = base
-	} else if route.Kind == front.PlanPut || route.Kind == front.PlanPatch {
-		if ask.Forced = c.Query("force") == "true"; !ask.Forced {
+		ask.BaseVersion = base
+	} else if route.Kind == front.RequestConfigPut || route.Kind == front.RequestConfigPatch {
+		if ask.Force = c.Query("force") == "true"; !ask.Force {
 			return ask, fmt.Errorf("?base: say which plan sequence this change is made on, or force=true")
 		}
 	}
--- a/tool/cmd/fleet/main.go
+++ b/tool/cmd/fleet/main.go
@@ -41,9 +41,9 @@
 	bin := fs.String("bin", "bin", "folder with the built programs")
 	folder := fs.String("folder", "run", "folder for data and logs")
 	base := fs.Int("base", 20000, "ports above this one are used, on 127.0.0.1")
-	keepers := fs.Int("keepers", deploy.Keepers, "keepers, at least 3")
-	schedulers := fs.Int("schedulers", deploy.Scheds, "schedulers")
-	fronts := fs.Int("fronts", deploy.Fronts, "fronts")
+	keepers := fs.Int("keepers", deploy.Replicas, "keepers, at least 3")
+	schedulers := fs.Int("schedulers", deploy.Schedulers, "schedulers")
+	fronts := fs.Int("fronts", deploy.Gateways, "fronts")
 	relays := fs.Bool("relays", false, "send all lines through relays, so that members can be cut")
 	workers := fs.Int("workers", deploy.Workers, "stand-in workers")
 	if err := ff.Parse(fs, os.Args[1:], ff.WithEnvVarPrefix("FLEET")); err != nil {
@@ -57,13 +57,13 @@
 		fmt.Fprintln(os.Stderr, "fleet: bad settings:", err, "(at least 3 keepers, 1 scheduler, 1 front; base from 1024 to 32000, below the ports that systems give out)")
 		return 2
 	}
-	f, err := fleet.Start(fleet.Env{Bin: *bin, Folder: *folder, Base: *base, Deployment: d, Keepers: *keepers, Schedulers: *schedulers, Fronts: *fronts, Workers: *workers, Relays: *relays})
+	f, err := fleet.Start(fleet.Config{BinaryDir: *bin, Directory: *folder, BasePort: *base, Deployment: d, Replicas: *keepers, Schedulers: *schedulers, Gateways: *fronts, Workers: *workers, Proxies: *relays})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
 		return 1
 	}
 	defer f.Close()
-	if !fleet.Until(30*time.Second, f.Ready) {
+	if !fleet.Poll(30*time.Second, f.Ready) {
 		fmt.Fprintln(os.Stderr, "fleet: not ready after 30 s; see the logs in", *folder)
 		return 1
 	}
@@ -72,17 +72,17 @@
 		Sequence uint64 `json:"sequence"`
 	}
 	if err == nil && r.Status == 200 && r.Decode(&now) == nil && now.Sequence == 0 {
-		r, err = f.Client.Call("PUT", "/v1/plan?base=0", d.Plan, nil, 5*time.Second)
+		r, err = f.Client.Call("PUT", "/v1/plan?base=0", d.Config, nil, 5*time.Second)
 	}
 	if err != nil || r.Status != 200 {
 		fmt.Fprintf(os.Stderr, "fleet: plan: %v %s\n", err, r.Body)
 		return 1
 	}
-	if err := os.WriteFile(filepath.Join(*folder, "fronts"), []byte(strings.Join(f.Fronts(), ",")+"\n"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(*folder, "fronts"), []byte(strings.Join(f.Gateways(), ",")+"\n"), 0o600); err != nil {
 		fmt.Fprintln(os.Stderr, "fleet:", err)
 		return 1
 	}
-	fmt.Printf("ready: deployment=%s primary=%s\nfronts: %s\n%s", d.Name, f.Primary(), strings.Join(f.Fronts(), ","), orders)
+	fmt.Printf("ready: deployment=%s primary=%s\nfronts: %s\n%s", d.Name, f.Primary(), strings.Join(f.Gateways(), ","), orders)
 	lines := make(chan string)
 	pool.Go(func() {
 		scanner := bufio.NewScanner(os.Stdin)
@@ -119,12 +119,12 @@
 }
 
 func order(f *fleet.Fleet, words []string) error {
-	simple := map[string]func(string) error{"kill": f.Kill, "run": f.Run, "stop": f.Stop, "freeze": f.Freeze, "wake": f.Wake, "wipe": f.Wipe}
+	simple := map[string]func(string) error{"kill": f.Kill, "run": f.StartProcess, "stop": f.Stop, "freeze": f.Freeze, "wake": f.Resume, "wipe": f.WipeData}
 	switch {
 	case len(words) == 1 && words[0] == "list":
-		for _, name := range f.Names() {
-			if p, err := f.Member(name); err == nil {
-				fmt.Printf("%s site=%s address=%s http=%s\n", p.Name, p.Site, p.Address, p.HTTP)
+		for _, name := range f.ProcessNames() {
+			if p, err := f.Process(name); err == nil {
+				fmt.Printf("%s site=%s address=%s http=%s\n", p.Name, p.Zone, p.Address, p.HTTPAddress)
 			}
 		}
 		return nil
@@ -134,9 +134,9 @@
 	case len(words) == 2 && simple[words[0]] != nil:
 		return simple[words[0]](words[1])
 	case len(words) == 3 && (words[0] == "cut" || words[0] == "mend"):
-		return f.Cut(words[1], words[2], words[0] == "cut")
+		return f.SetPartition(words[1], words[2], words[0] == "cut")
 	case len(words) == 3 && words[0] == "join":
-		return f.Join(words[1], words[2], f.Seeds())
+		return f.AddReplica(words[1], words[2], f.SchedulerSeeds())
 	}
 	return fmt.Errorf("unknown order; %s", orders)
 }
--- a/tool/cmd/standin/main.go
+++ b/tool/cmd/standin/main.go
@@ -61,11 +61,11 @@
 		os.Exit(2)
 	}
 	logline.Init("standin@" + *id)
-	e := worker.Env{ID: *id, Site: *site, Rack: *rack, Service: *service, Total: ledger.Room{Slots: *slots, Cores: *cores}, Incarnation: time.Now().UnixMilli()}
+	e := worker.Env{ID: *id, Site: *site, Rack: *rack, Service: *service, Total: ledger.Resources{Slots: *slots, Cores: *cores}, Incarnation: time.Now().UnixMilli()}
 	if *labels != "" {
 		e.Labels = strings.Split(*labels, ",")
 	}
-	s := &standin{worker: worker.New(e), client: client.Must(strings.Split(*fronts, ",")), started: time.Now()}
+	s := &standin{worker: worker.New(e), client: client.MustNew(strings.Split(*fronts, ",")), started: time.Now()}
 	s.serve(*control)
 	s.mu.Lock()
 	s.timer = time.AfterFunc(time.Millisecond, func() { pool.Go(s.tick) })
@@ -82,30 +82,30 @@
 	if beat, due := s.worker.Tick(now); due {
 		pool.Go(func() { s.send(beat) })
 	}
-	s.timer.Reset(max(time.Millisecond, s.worker.Wakeup()-now))
+	s.timer.Reset(max(time.Millisecond, s.worker.NextTimer()-now))
 }
 
-func (s *standin) send(beat ledger.Beat) {
+func (s *standin) send(beat ledger.Heartbeat) {
 	s.mu.Lock()
 	cut := s.cut
 	s.mu.Unlock()
-	var view front.OrdersView
+	var view front.HeartbeatView
 	good := false
 	if !cut {
 		body, err := json.Marshal(beat)
 		if err != nil {
 			panic(err)
 		}
-		r, err := s.client.Once("POST", "/v1/beats?hold="+worker.HoldFor.String(), body, nil, worker.DropLate+time.Second)
+		r, err := s.client.CallOnce("POST", "/v1/beats?hold="+worker.HoldFor.String(), body, nil, worker.DropLate+time.Second)
 		if err == nil && r.Decode(&view) == nil {
 			good = r.Status == 200
 		}
-		if !good && view.Code != code.StaleBeat {
-			logline.Event("beat_bounced", "number", beat.Number, "status", r.Status, "why", view.Why)
+		if !good && view.Code != code.StaleHeartbeat {
+			logline.Info("beat_bounced", "number", beat.Number, "status", r.Status, "why", view.Reason)
 		}
 	}
 	s.mu.Lock()
-	s.worker.Reply(time.Since(s.started), beat.Number, good, view.Orders)
+	s.worker.Reply(time.Since(s.started), beat.Number, good, view.Reply)
 	s.mu.Unlock()
 	s.tick()
 }
@@ -153,7 +153,7 @@
 	})
 	pool.Go(func() {
 		if err := h.Run(); err != nil {
-			logline.Event("http_ended", "why", err.Error())
+			logline.Info("http_ended", "why", err.Error())
 		}
 	})
 }
--- a/tool/deploy/deploy.go
+++ b/tool/deploy/deploy.go
@@ -12,52 +12,52 @@
 
 // Traffic is one kind of job: how often it comes and what it is made of.
 type Traffic struct {
-	Class     string
-	PerSecond float64
-	Steps     []int
-	RunMs     int64
-	Cores     int
+	Class      string
+	PerSecond  float64
+	StepWidths []int
+	RunMs      int64
+	Cores      int
 }
 
 type Deployment struct {
-	Name    string
-	Service string
-	Plan    []byte
-	Sites   []string
-	Cores   int
-	Traffic []Traffic
+	Name           string
+	Service        string
+	Config         []byte
+	Zones          []string
+	CoresPerWorker int
+	Traffic        []Traffic
 }
 
 //go:embed reseller.json
-var resellerPlan []byte
+var resellerConfig []byte
 
 //go:embed podcast.json
-var podcastPlan []byte
+var podcastConfig []byte
 
 const (
-	Workers = 11
-	Slots   = 8
-	PerRack = 3
-	Keepers = 3
-	Scheds  = 6
-	Fronts  = 8
+	Workers        = 11
+	SlotsPerWorker = 8
+	WorkersPerRack = 3
+	Replicas       = 3
+	Schedulers     = 6
+	Gateways       = 8
 )
 
-var all = map[string]Deployment{
-	"reseller": {"reseller", "tickets", resellerPlan, []string{"a", "b", "c"}, 64, []Traffic{
+var deployments = map[string]Deployment{
+	"reseller": {"reseller", "tickets", resellerConfig, []string{"a", "b", "c"}, 64, []Traffic{
 		{"lookup", 9, []int{1}, 60, 1}, {"check", 2, []int{2, 1}, 250, 2}, {"repricing", 0.6, []int{2}, 5500, 8},
 	}},
-	"podcast": {"podcast", "podcasts", podcastPlan, []string{"a", "b", "c"}, 16, []Traffic{
+	"podcast": {"podcast", "podcasts", podcastConfig, []string{"a", "b", "c"}, 16, []Traffic{
 		{"preview", 7, []int{1}, 80, 1}, {"chapters", 2, []int{2, 1}, 300, 2}, {"mastering", 0.6, []int{2}, 5500, 2},
 	}},
 }
 
 // Get finds a deployment by name.
 func Get(name string) (Deployment, error) {
-	d, ok := all[name]
+	d, ok := deployments[name]
 	if !ok {
-		names := make([]string, 0, len(all))
-		for n := range all {
+		names := make([]string, 0, len(deployments))
+		for n := range deployments {
 			names = append(names, n)
 		}
 		sort.Strings(names)
@@ -68,15 +68,15 @@
 
 // Job makes the nth job of a kind. Steps are layers of tasks; each task of a
 // layer depends on all of the layer before.
-func (t Traffic) Job(service, id string) ledger.JobSpec {
+func (t Traffic) NewJob(service, id string) ledger.JobSpec {
 	spec := ledger.JobSpec{ID: id, Service: service, Class: t.Class}
 	var before []string
-	for step, width := range t.Steps {
+	for step, width := range t.StepWidths {
 		var layer []string
 		for i := range width {
 			name := fmt.Sprintf("s%d-%d", step+1, i+1)
 			spec.Tasks = append(spec.Tasks, ledger.TaskSpec{
-				ID: name, After: before, Room: ledger.Room{Slots: 1, Cores: t.Cores}, Payload: fmt.Appendf(nil, `{"runMs":%d}`, t.RunMs),
+				ID: name, DependsOn: before, Resources: ledger.Resources{Slots: 1, Cores: t.Cores}, Payload: fmt.Appendf(nil, `{"runMs":%d}`, t.RunMs),
 			})
 			layer = append(layer, name)
 		}
--- a/tool/e2e/e2e_test.go
+++ b/tool/e2e/e2e_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	folder := t.TempDir()
-	f, err := fleet.Start(fleet.Env{Bin: bin, Folder: folder, Base: freeBase(t, 80), Deployment: d, Keepers: keepers, Schedulers: schedulers, Fronts: fronts, Workers: workers, Relays: true})
+	f, err := fleet.Start(fleet.Config{BinaryDir: bin, Directory: folder, BasePort: freeBase(t, 80), Deployment: d, Replicas: keepers, Schedulers: schedulers, Gateways: fronts, Workers: workers, Proxies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,10 +89,10 @@
 			}
 		}
 	})
-	if !fleet.Until(patience, f.Ready) {
+	if !fleet.Poll(patience, f.Ready) {
 		t.Fatal("the fleet did not become ready")
 	}
-	r, err := f.Client.Call("PUT", "/v1/plan?base=0", d.Plan, nil, 10*time.Second)
+	r, err := f.Client.Call("PUT", "/v1/plan?base=0", d.Config, nil, 10*time.Second)
 	if err != nil || r.Status != 200 {
 		t.Fatalf("plan: %v %s", err, r.Body)
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ok := fleet.Until(patience, func() bool {
+	ok := fleet.Poll(patience, func() bool {
 		r, err := f.Client.Call("POST", "/v1/jobs", body, nil, 10*time.Second)
 		return err == nil && r.Status == 200
 	})
@@ -117,7 +117,7 @@
 func finish(t *testing.T, f *fleet.Fleet, id string) {
 	t.Helper()
 	var view front.JobView
-	ok := fleet.Until(patience, func() bool {
+	ok := fleet.Poll(patience, func() bool {
 		r, err := f.Client.Call("GET", "/v1/jobs/"+id+"?wait=2s", nil, nil, 10*time.Second)
 		if err == nil && r.Status == 404 {
 			t.Fatalf("job %s was accepted and is called unknown", id)
@@ -132,13 +132,13 @@
 // records collects the workers' own records, which know nothing of the ledger.
 func records(t *testing.T, f *fleet.Fleet, d deploy.Deployment) (runs []worker.Run, workers []worker.Env) {
 	t.Helper()
-	for _, name := range f.Names() {
-		p, err := f.Member(name)
+	for _, name := range f.ProcessNames() {
+		p, err := f.Process(name)
 		if err != nil || p.Role != "standin" {
 			continue
 		}
-		workers = append(workers, worker.Env{ID: name, Site: p.Site, Service: d.Service, Total: ledger.Room{Slots: deploy.Slots, Cores: d.Cores}})
-		r, err := f.Client.At(p.HTTP, "GET", "/runs", nil, nil, 5*time.Second)
+		workers = append(workers, worker.Env{ID: name, Site: p.Zone, Service: d.Service, Total: ledger.Resources{Slots: deploy.SlotsPerWorker, Cores: d.CoresPerWorker}})
+		r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/runs", nil, nil, 5*time.Second)
 		var own []worker.Run
 		if err != nil || r.Decode(&own) != nil {
 			t.Fatalf("runs of %s: %v", name, err)
@@ -180,7 +180,7 @@
 	d, _ := deploy.Get("reseller")
 	var jobs []ledger.JobSpec
 	for i := range 12 {
-		jobs = append(jobs, d.Traffic[i%3].Job(d.Service, fmt.Sprintf("before-%d", i)))
+		jobs = append(jobs, d.Traffic[i%3].NewJob(d.Service, fmt.Sprintf("before-%d", i)))
 		submit(t, f, jobs[i])
 	}
 	large, err := f.Client.Call("POST", "/v1/jobs", make([]byte, 5<<20), nil, 10*time.Second)
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	for i := range 6 {
-		jobs = append(jobs, d.Traffic[i%2].Job(d.Service, fmt.Sprintf("after-%d", i)))
+		jobs = append(jobs, d.Traffic[i%2].NewJob(d.Service, fmt.Sprintf("after-%d", i)))
 		submit(t, f, jobs[12+i])
 	}
 	for _, job := range jobs {
@@ -218,7 +218,7 @@
 		t.Helper()
 		var ids []string
 		for i := range 6 {
-			spec := d.Traffic[i%2].Job(d.Service, fmt.Sprintf("%s-%d", name, i))
+			spec := d.Traffic[i%2].NewJob(d.Service, fmt.Sprintf("%s-%d", name, i))
 			submit(t, f, spec)
 			jobs, ids = append(jobs, spec), append(ids, spec.ID)
 		}
@@ -240,8 +240,8 @@
 	first := f.Primary()
 	must(f.Freeze(first))
 	wave("primary-frozen")
-	must(f.Wake(first))
-	if !fleet.Until(patience, changed(first)) {
+	must(f.Resume(first))
+	if !fleet.Poll(patience, changed(first)) {
 		t.Fatalf("the frozen primary %s still leads", first)
 	}
 	wave("primary-woken")
@@ -249,46 +249,46 @@
 	must(f.Freeze("scheduler-1"))
 	must(f.Freeze("front-1"))
 	wave("scheduler-and-front-frozen")
-	must(f.Wake("scheduler-1"))
-	must(f.Wake("front-1"))
+	must(f.Resume("scheduler-1"))
+	must(f.Resume("front-1"))
 	wave("both-woken")
 
 	must(f.Kill("scheduler-2"))
 	must(f.Kill("front-2"))
 	wave("scheduler-and-front-killed")
-	must(f.Run("scheduler-2"))
-	must(f.Run("front-2"))
+	must(f.StartProcess("scheduler-2"))
+	must(f.StartProcess("front-2"))
 
 	second := f.Primary()
-	for _, other := range f.Names() {
-		if p, err := f.Member(other); err == nil && p.Role == "keeper" && other != second {
-			must(f.Cut(other, second, true))
-			must(f.Cut(second, other, true))
+	for _, other := range f.ProcessNames() {
+		if p, err := f.Process(other); err == nil && p.Role == "keeper" && other != second {
+			must(f.SetPartition(other, second, true))
+			must(f.SetPartition(second, other, true))
 		}
 	}
 	wave("primary-cut")
-	for _, other := range f.Names() {
-		if p, err := f.Member(other); err == nil && p.Role == "keeper" && other != second {
-			must(f.Cut(other, second, false))
-			must(f.Cut(second, other, false))
+	for _, other := range f.ProcessNames() {
+		if p, err := f.Process(other); err == nil && p.Role == "keeper" && other != second {
+			must(f.SetPartition(other, second, false))
+			must(f.SetPartition(second, other, false))
 		}
 	}
 	wave("primary-mended")
 
 	third := f.Primary()
 	must(f.Kill(third))
-	must(f.Join("keeper-new", "a", f.Seeds()))
-	seated := fleet.Until(patience, func() bool {
-		p, err := f.Member("keeper-new")
+	must(f.AddReplica("keeper-new", "a", f.SchedulerSeeds()))
+	seated := fleet.Poll(patience, func() bool {
+		p, err := f.Process("keeper-new")
 		if err != nil {
 			return false
 		}
 		var status keeper.Status
-		r, err := f.Client.At(p.HTTP, "GET", "/status", nil, nil, time.Second)
+		r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/status", nil, nil, time.Second)
 		if err != nil || r.Decode(&status) != nil {
 			return false
 		}
-		for _, w := range status.View.Witnesses {
+		for _, w := range status.View.Voters {
 			if w.ID == status.ID {
 				return true
 			}
@@ -307,14 +307,14 @@
 	race(t, f)
 	f.Close()
 	var logs []string
-	for _, name := range f.Names() {
-		folder := filepath.Join(f.Folder(), name, "audit")
+	for _, name := range f.ProcessNames() {
+		folder := filepath.Join(f.Directory(), name, "audit")
 		if _, err := os.Stat(filepath.Join(folder, "checkpoint")); err == nil {
 			logs = append(logs, folder)
 		}
 	}
 	report, err := audit.Verify(logs, nil)
-	if err != nil || len(report.Findings) > 0 || report.Entries < 4*len(jobs) {
+	if err != nil || len(report.Findings) > 0 || report.EntryCount < 4*len(jobs) {
 		t.Errorf("audit of %d keepers: %+v %v", len(logs), report, err)
 	}
 }
@@ -323,7 +323,7 @@
 func race(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	r, err := f.Client.Call("GET", "/v1/plan", nil, nil, 10*time.Second)
-	var now plan.Plan
+	var now plan.Config
 	if err != nil || r.Decode(&now) != nil {
 		t.Fatal(err, string(r.Body))
 	}
@@ -331,7 +331,7 @@
 	for i := range 2 {
 		pool.Go(func() {
 			body := fmt.Appendf(nil, `{"limits":{"maxLosses":%d}}`, 30+i)
-			r, err := f.Client.Call("PATCH", fmt.Sprintf("/v1/plan?base=%d", now.Sequence), body, map[string]string{"Idempotency-Key": fmt.Sprint("operator", i)}, 10*time.Second)
+			r, err := f.Client.Call("PATCH", fmt.Sprintf("/v1/plan?base=%d", now.Version), body, map[string]string{"Idempotency-Key": fmt.Sprint("operator", i)}, 10*time.Second)
 			if err != nil {
 				r.Status = -1
 			}
@@ -343,7 +343,7 @@
 		a, b = b, a
 	}
 	var lost front.Outcome
-	if a.Status != 200 || b.Status != 409 || b.Decode(&lost) != nil || lost.Sequence != now.Sequence+1 {
+	if a.Status != 200 || b.Status != 409 || b.Decode(&lost) != nil || lost.Version != now.Version+1 {
 		t.Errorf("one wins, the other is told the sequence: %d %s, %d %s", a.Status, a.Body, b.Status, b.Body)
 	}
 }
@@ -360,7 +360,7 @@
 	call := func(method, path string, body []byte) client.Response {
 		t.Helper()
 		var r client.Response
-		ok := fleet.Until(patience, func() bool {
+		ok := fleet.Poll(patience, func() bool {
 			var err error
 			r, err = f.Client.Call(method, path, body, nil, 10*time.Second)
 			return err == nil && r.Status != 503
@@ -394,23 +394,23 @@
 	}
 	until := func(i int, states ...string) {
 		t.Helper()
-		if !fleet.Until(patience, func() bool { return slices.Contains(states, see(i)) }) {
+		if !fleet.Poll(patience, func() bool { return slices.Contains(states, see(i)) }) {
 			t.Fatalf("%s is %s, not %v", story.Jobs[i].Spec.ID, story.Jobs[i].State, states)
 		}
 	}
-	many := deploy.Traffic{Class: "check", Steps: []int{80}, RunMs: 1500, Cores: 1}
-	cancelled := hand(many.Job(d.Service, "cancelled"))
+	many := deploy.Traffic{Class: "check", StepWidths: []int{80}, RunMs: 1500, Cores: 1}
+	cancelled := hand(many.NewJob(d.Service, "cancelled"))
 	until(cancelled, ledger.Running)
 	must("DELETE", "/v1/jobs/cancelled", nil)
 	story.Jobs[cancelled].Cancelled = clock()
 
-	gang := deploy.Traffic{Class: "check", Steps: []int{5}, RunMs: 300, Cores: 1}.Job(d.Service, "gang")
+	gang := deploy.Traffic{Class: "check", StepWidths: []int{5}, RunMs: 300, Cores: 1}.NewJob(d.Service, "gang")
 	for i := range gang.Tasks {
 		gang.Tasks[i].Gang = "g"
 	}
 	whole := hand(gang)
-	spent := deploy.Traffic{Class: "lookup", Steps: []int{1}, RunMs: 20, Cores: 1}.Job(d.Service, "spent")
-	spent.Tasks[0].Payload, spent.Tasks[0].AllowedDefects = []byte(`{"runMs":20,"fail":true}`), 2
+	spent := deploy.Traffic{Class: "lookup", StepWidths: []int{1}, RunMs: 20, Cores: 1}.NewJob(d.Service, "spent")
+	spent.Tasks[0].Payload, spent.Tasks[0].MaxFailures = []byte(`{"runMs":20,"fail":true}`), 2
 	failed := hand(spent)
 	until(failed, ledger.Failed)
 	until(whole, ledger.Done)
@@ -422,33 +422,33 @@
 	story.Emptied = append(story.Emptied, sim.SiteNote{Site: "b", From: clock()})
 	must("POST", "/v1/workers/standin-1/drain", nil)
 	story.Left = append(story.Left, sim.WorkerNote{Worker: "standin-1", From: clock(), To: 1 << 62})
-	leaving, err := f.Member("standin-3")
+	leaving, err := f.Process("standin-3")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := f.Client.At(leaving.HTTP, "POST", "/faults", []byte(`{"leave":true}`), nil, 5*time.Second); err != nil || r.Status != 200 {
+	if r, err := f.Client.CallAddress(leaving.HTTPAddress, "POST", "/faults", []byte(`{"leave":true}`), nil, 5*time.Second); err != nil || r.Status != 200 {
 		t.Fatalf("leave: %v %s", err, r.Body)
 	}
 	story.Left = append(story.Left, sim.WorkerNote{Worker: "standin-3", From: clock(), To: 1 << 62})
 	// Short jobs come until the longest of the bounds is well over.
 	last := 0
 	for i := 0; clock() < story.Emptied[0].From+8*time.Second; i++ {
-		last = hand(d.Traffic[0].Job(d.Service, fmt.Sprintf("short-%d", i)))
+		last = hand(d.Traffic[0].NewJob(d.Service, fmt.Sprintf("short-%d", i)))
 		until(last, ledger.Done)
 	}
 	must("POST", "/v1/sites/b/refill", nil)
 	story.Emptied[0].To = clock()
 	must("PATCH", "/v1/plan?force=true", []byte(`{"limits":{"maxLosses":21}}`))
-	for _, name := range f.Names() {
-		p, err := f.Member(name)
+	for _, name := range f.ProcessNames() {
+		p, err := f.Process(name)
 		if err != nil || p.Role == "standin" {
 			continue
 		}
-		seen := fleet.Until(patience, func() bool {
+		seen := fleet.Poll(patience, func() bool {
 			var status struct {
 				Plan uint64 `json:"planSequence"`
 			}
-			r, err := f.Client.At(p.HTTP, "GET", "/status", nil, nil, time.Second)
+			r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/status", nil, nil, time.Second)
 			return err == nil && r.Decode(&status) == nil && status.Plan >= 2
 		})
 		if !seen {
@@ -477,7 +477,7 @@
 	}
 	// The same records with one start too many must be found.
 	spoiled := story
-	spoiled.Runs = append(slices.Clone(story.Runs), worker.Run{Attempt: ledger.Attempt{Job: "cancelled", Task: "s1-80", Try: 9}, Worker: "standin-2", Class: "check", Service: d.Service, From: story.Emptied[0].From + 6*time.Second, To: story.Emptied[0].From + 7*time.Second, Outcome: "stopped"})
+	spoiled.Runs = append(slices.Clone(story.Runs), worker.Run{Attempt: ledger.Attempt{Job: "cancelled", Task: "s1-80", Number: 9}, Worker: "standin-2", Class: "check", Service: d.Service, From: story.Emptied[0].From + 6*time.Second, To: story.Emptied[0].From + 7*time.Second, Outcome: "stopped"})
 	if found, _ := sim.JudgeStory(spoiled); len(found) < 2 {
 		t.Errorf("a start in an emptied site of a cancelled job is not found: %v", found)
 	}
--- a/tool/fleet/fleet.go
+++ b/tool/fleet/fleet.go
@@ -20,97 +20,97 @@
 )
 
 // Env says what to run, how much of it, and where.
-type Env struct {
-	Bin        string
-	Folder     string
-	Base       int
+type Config struct {
+	BinaryDir  string
+	Directory  string
+	BasePort   int
 	Deployment deploy.Deployment
-	Keepers    int
+	Replicas   int
 	Schedulers int
-	Fronts     int
+	Gateways   int
 	Workers    int
-	Relays     bool
+	Proxies    bool
 }
 
 // Process is one member of the fleet.
 type Process struct {
-	Name    string
-	Role    string
-	Address string
-	HTTP    string
-	Site    string
-	listen  string
-	args    []string
-	command *exec.Cmd
-	ended   chan struct{}
+	Name          string
+	Role          string
+	Address       string
+	HTTPAddress   string
+	Zone          string
+	listenAddress string
+	args          []string
+	command       *exec.Cmd
+	exited        chan struct{}
 }
 
 // Fleet is the processes of one deployment.
 type Fleet struct {
-	env     Env
-	mu      sync.Mutex
-	members map[string]*Process
-	port    int
-	relays  *relays
-	Client  *client.Client
+	config    Config
+	mu        sync.Mutex
+	processes map[string]*Process
+	lastPort  int
+	proxies   *proxySet
+	Client    *client.Client
 }
 
 // Start brings up the daemons, then the stand-in workers. It does not wait.
-func Start(e Env) (*Fleet, error) {
-	f := &Fleet{env: e, members: map[string]*Process{}, port: e.Base}
-	if e.Relays {
-		f.relays = newRelays()
+func Start(e Config) (*Fleet, error) {
+	f := &Fleet{config: e, processes: map[string]*Process{}, lastPort: e.BasePort}
+	if e.Proxies {
+		f.proxies = newProxySet()
 	}
 	var fronts []string
 	add := func(role string, count int) []*Process {
 		var out []*Process
 		for i := range count {
 			p := &Process{
-				Name:    fmt.Sprintf("%s-%d", role, i+1),
-				Role:    role,
-				Site:    e.Deployment.Sites[i%len(e.Deployment.Sites)],
-				Address: f.address(),
-				HTTP:    f.address(),
+				Name:        fmt.Sprintf("%s-%d", role, i+1),
+				Role:        role,
+				Zone:        e.Deployment.Zones[i%len(e.Deployment.Zones)],
+				Address:     f.nextAddress(),
+				HTTPAddress: f.nextAddress(),
 			}
-			f.members[p.Name] = p
+			f.processes[p.Name] = p
 			out = append(out, p)
 		}
 		return out
 	}
-	keepers, schedulers := add("keeper", e.Keepers), add("scheduler", e.Schedulers)
+	keepers, schedulers := add("keeper", e.Replicas), add("scheduler", e.Schedulers)
 	var seeds []string
 	for _, p := range keepers[:min(3, len(keepers))] {
 		seeds = append(seeds, p.Address)
 	}
-	for _, p := range add("front", e.Fronts) {
-		fronts = append(fronts, p.HTTP)
-		p.args = f.args(p, seeds)
+	for _, p := range add("front", e.Gateways) {
+		fronts = append(fronts, p.HTTPAddress)
+		p.args = f.daemonArgs(p, seeds)
 	}
 	for _, p := range keepers {
-		p.args = append(f.args(p, seeds), "-data", filepath.Join(e.Folder, p.Name), "-founders", strings.Join(seeds, ","))
+		p.args = append(f.daemonArgs(p, seeds), "-data", filepath.Join(e.Directory, p.Name), "-founders", strings.Join(seeds, ","))
 	}
 	for _, p := range schedulers {
-		p.args = f.args(p, seeds)
+		p.args = f.daemonArgs(p, seeds)
 	}
 	for i, p := range add("standin", e.Workers) {
 		d := e.Deployment
 		p.args = []string{
-			"-id", p.Name, "-site", p.Site, "-service", d.Service,
-			"-rack", fmt.Sprintf("r%d", i/deploy.PerRack+1),
-			"-slots", fmt.Sprint(deploy.Slots), "-cores", fmt.Sprint(d.Cores),
-			"-fronts", strings.Join(rotate(fronts, i), ","), "-http", p.HTTP,
+			"-id", p.Name, "-site", p.Zone, "-service", d.Service,
+			"-rack", fmt.Sprintf("r%d", i/deploy.WorkersPerRack+1),
+			"-slots", fmt.Sprint(deploy.SlotsPerWorker), "-cores", fmt.Sprint(d.CoresPerWorker),
+			"-fronts", strings.Join(rotate(fronts, i), ","), "-http", p.HTTPAddress,
 		}
 	}
-	f.Client = client.Must(fronts)
-	for _, name := range f.Names() {
-		if p := f.members[name]; p.listen != "" {
-			if err := f.relays.open(p.Address, p.listen); err != nil {
+	f.Client = client.MustNew(fronts)
+	for _, name := range f.ProcessNames() {
+		if p := f.processes[name]; p.listenAddress != "" {
+			if err := f.proxies.open(p.Address, p.listenAddress); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for _, name := range f.Names() {
-		if err := f.Run(name); err != nil {
+	for _, name := range f.ProcessNames() {
+		if err := f.StartProcess(name); err != nil {
 			f.Close()
 			return nil, err
 		}
@@ -123,29 +123,29 @@
 	return append(append([]string{}, list[by:]...), list[:by]...)
 }
 
-func (f *Fleet) address() string {
-	f.port++
-	return fmt.Sprintf("127.0.0.1:%d", f.port)
+func (f *Fleet) nextAddress() string {
+	f.lastPort++
+	return fmt.Sprintf("127.0.0.1:%d", f.lastPort)
 }
 
-func (f *Fleet) args(p *Process, seeds []string) []string {
+func (f *Fleet) daemonArgs(p *Process, seeds []string) []string {
 	args := []string{"-address", p.Address}
-	if f.relays != nil {
-		p.listen = f.address()
-		args = append(args, "-listen", p.listen)
+	if f.proxies != nil {
+		p.listenAddress = f.nextAddress()
+		args = append(args, "-listen", p.listenAddress)
 	}
-	return append(args, "-http", p.HTTP, "-site", p.Site, "-seeds", strings.Join(seeds, ","))
+	return append(args, "-http", p.HTTPAddress, "-site", p.Zone, "-seeds", strings.Join(seeds, ","))
 }
 
 // Names lists the members; keepers come first, stand-ins last.
-func (f *Fleet) Names() []string {
+func (f *Fleet) ProcessNames() []string {
 	order := map[string]int{"keeper": 0, "scheduler": 1, "front": 2, "standin": 3}
-	names := make([]string, 0, len(f.members))
-	for name := range f.members {
+	names := make([]string, 0, len(f.processes))
+	for name := range f.processes {
 		names = append(names, name)
 	}
 	sort.Slice(names, func(i, j int) bool {
-		a, b := f.members[names[i]], f.members[names[j]]
+		a, b := f.processes[names[i]], f.processes[names[j]]
 		if a.Role != b.Role {
 			return order[a.Role] < order[b.Role]
 		}
@@ -155,23 +155,23 @@
 }
 
 // Member finds a process by its name.
-func (f *Fleet) Member(name string) (*Process, error) {
+func (f *Fleet) Process(name string) (*Process, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p, ok := f.members[name]
+	p, ok := f.processes[name]
 	if !ok {
-		return nil, fmt.Errorf("no process %q; there are %s", name, strings.Join(f.Names(), " "))
+		return nil, fmt.Errorf("no process %q; there are %s", name, strings.Join(f.ProcessNames(), " "))
 	}
 	return p, nil
 }
 
 // runs says whether the process was started and has not ended, by itself or by an order.
-func (p *Process) runs() bool {
+func (p *Process) running() bool {
 	if p.command == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -179,30 +179,30 @@
 }
 
 // Run starts a member that is not running.
-func (f *Fleet) Run(name string) error {
-	p, err := f.Member(name)
+func (f *Fleet) StartProcess(name string) error {
+	p, err := f.Process(name)
 	if err != nil {
 		return err
 	}
-	if p.runs() {
+	if p.running() {
 		return fmt.Errorf("%s runs already", name)
 	}
-	if err := os.MkdirAll(f.env.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(f.config.Directory, 0o700); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(f.env.Folder, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(f.config.Directory, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	c := exec.Command(filepath.Join(f.env.Bin, p.Role), p.args...)
+	c := exec.Command(filepath.Join(f.config.BinaryDir, p.Role), p.args...)
 	c.Stdout, c.Stderr = log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
-	p.command, p.ended = c, ended
+	p.command, p.exited = c, ended
 	pool.Go(func() {
 		c.Wait()
 		close(ended)
@@ -211,11 +211,11 @@
 }
 
 func (f *Fleet) signal(name string, s syscall.Signal) (*Process, error) {
-	p, err := f.Member(name)
+	p, err := f.Process(name)
 	if err != nil {
 		return nil, err
 	}
-	if !p.runs() {
+	if !p.running() {
 		return nil, fmt.Errorf("%s does not run", name)
 	}
 	return p, p.command.Process.Signal(s)
@@ -225,7 +225,7 @@
 func (f *Fleet) Kill(name string) error {
 	p, err := f.signal(name, syscall.SIGKILL)
 	if err == nil {
-		<-p.ended
+		<-p.exited
 		p.command = nil
 	}
 	return err
@@ -238,10 +238,10 @@
 		return err
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(10 * time.Second):
 		p.command.Process.Kill()
-		<-p.ended
+		<-p.exited
 	}
 	p.command = nil
 	return nil
@@ -254,75 +254,75 @@
 }
 
 // Wake lets a frozen member go on.
-func (f *Fleet) Wake(name string) error {
+func (f *Fleet) Resume(name string) error {
 	_, err := f.signal(name, syscall.SIGCONT)
 	return err
 }
 
 // Wipe empties the data folder of a keeper that does not run.
-func (f *Fleet) Wipe(name string) error {
-	p, err := f.Member(name)
+func (f *Fleet) WipeData(name string) error {
+	p, err := f.Process(name)
 	if err != nil {
 		return err
 	}
-	if p.runs() || p.Role != "keeper" {
+	if p.running() || p.Role != "keeper" {
 		return fmt.Errorf("%s runs, or is no keeper", name)
 	}
-	return os.RemoveAll(filepath.Join(f.env.Folder, name))
+	return os.RemoveAll(filepath.Join(f.config.Directory, name))
 }
 
 // Join adds an empty keeper at a new address, beginning from the given seeds.
-func (f *Fleet) Join(name, site string, seeds []string) error {
+func (f *Fleet) AddReplica(name, site string, seeds []string) error {
 	f.mu.Lock()
-	p := &Process{Name: name, Role: "keeper", Site: site, Address: f.address(), HTTP: f.address()}
-	p.args = append(f.args(p, seeds), "-data", filepath.Join(f.env.Folder, name))
-	f.members[name] = p
+	p := &Process{Name: name, Role: "keeper", Zone: site, Address: f.nextAddress(), HTTPAddress: f.nextAddress()}
+	p.args = append(f.daemonArgs(p, seeds), "-data", filepath.Join(f.config.Directory, name))
+	f.processes[name] = p
 	f.mu.Unlock()
-	if p.listen != "" {
-		if err := f.relays.open(p.Address, p.listen); err != nil {
+	if p.listenAddress != "" {
+		if err := f.proxies.open(p.Address, p.listenAddress); err != nil {
 			return err
 		}
 	}
-	return f.Run(name)
+	return f.StartProcess(name)
 }
 
 // Cut drops what one member sends to another; Mend lets it through again.
-func (f *Fleet) Cut(from, to string, cut bool) error {
-	a, err := f.Member(from)
+func (f *Fleet) SetPartition(from, to string, cut bool) error {
+	a, err := f.Process(from)
 	if err != nil {
 		return err
 	}
-	b, err := f.Member(to)
+	b, err := f.Process(to)
 	if err != nil {
 		return err
 	}
-	if f.relays == nil {
+	if f.proxies == nil {
 		return fmt.Errorf("the fleet was started without relays")
 	}
-	f.relays.set(a.Address, b.Address, cut)
+	f.proxies.setPartition(a.Address, b.Address, cut)
 	return nil
 }
 
 // Folder is where data and logs are, one folder per keeper.
-func (f *Fleet) Folder() string { return f.env.Folder }
+func (f *Fleet) Directory() string { return f.config.Directory }
 
 // Close ends every member.
 func (f *Fleet) Close() {
-	if f.relays != nil {
-		f.relays.close()
+	if f.proxies != nil {
+		f.proxies.close()
 	}
-	for _, p := range f.members {
+	for _, p := range f.processes {
 		if p.command != nil {
 			p.command.Process.Signal(syscall.SIGCONT)
 			p.command.Process.Kill()
-			<-p.ended
+			<-p.exited
 			p.command = nil
 		}
 	}
 }
 
 // Until asks again and again until the answer is yes or the wait is over.
-func Until(wait time.Duration, yes func() bool) bool {
+func Poll(wait time.Duration, yes func() bool) bool {
 	over := time.After(wait)
 	again := time.NewTicker(20 * time.Millisecond)
 	defer again.Stop()
@@ -338,12 +338,12 @@
 
 // Ready says whether every running member with a readiness page is ready.
 func (f *Fleet) Ready() bool {
-	for _, name := range f.Names() {
-		p := f.members[name]
+	for _, name := range f.ProcessNames() {
+		p := f.processes[name]
 		if p.command == nil || p.Role == "standin" {
 			continue
 		}
-		if r, err := f.Client.At(p.HTTP, "GET", "/readyz", nil, nil, time.Second); err != nil || r.Status != 200 {
+		if r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/readyz", nil, nil, time.Second); err != nil || r.Status != 200 {
 			return false
 		}
 	}
@@ -352,15 +352,15 @@
 
 // Primary names the keeper that serves, if one says so.
 func (f *Fleet) Primary() string {
-	for _, name := range f.Names() {
-		p := f.members[name]
+	for _, name := range f.ProcessNames() {
+		p := f.processes[name]
 		if p.Role != "keeper" || p.command == nil {
 			continue
 		}
 		var status struct {
 			Serving bool `json:"serving"`
 		}
-		r, err := f.Client.At(p.HTTP, "GET", "/status", nil, nil, time.Second)
+		r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/status", nil, nil, time.Second)
 		if err == nil && r.Decode(&status) == nil && status.Serving {
 			return name
 		}
@@ -368,10 +368,10 @@
 	return ""
 }
 
-func (f *Fleet) gather(role string, pick func(*Process) string) []string {
+func (f *Fleet) addressesOf(role string, pick func(*Process) string) []string {
 	var out []string
-	for _, name := range f.Names() {
-		if p := f.members[name]; p.Role == role {
+	for _, name := range f.ProcessNames() {
+		if p := f.processes[name]; p.Role == role {
 			out = append(out, pick(p))
 		}
 	}
@@ -379,12 +379,12 @@
 }
 
 // Fronts gives the HTTP addresses of the fronts.
-func (f *Fleet) Fronts() []string {
-	return f.gather("front", func(p *Process) string { return p.HTTP })
+func (f *Fleet) Gateways() []string {
+	return f.addressesOf("front", func(p *Process) string { return p.HTTPAddress })
 }
 
 // Seeds gives three daemons to begin from that are not keepers.
-func (f *Fleet) Seeds() []string {
-	all := f.gather("scheduler", func(p *Process) string { return p.Address })
+func (f *Fleet) SchedulerSeeds() []string {
+	all := f.addressesOf("scheduler", func(p *Process) string { return p.Address })
 	return all[:min(3, len(all))]
 }
--- a/tool/fleet/relay.go
+++ b/tool/fleet/relay.go
@@ -13,27 +13,27 @@
 	"sorrelloom/daemon/transport"
 )
 
-type relays struct {
-	mu        sync.Mutex
-	cuts      map[[2]string]bool
-	listeners []net.Listener
+type proxySet struct {
+	mu         sync.Mutex
+	partitions map[[2]string]bool
+	listeners  []net.Listener
 }
 
-func newRelays() *relays { return &relays{cuts: map[[2]string]bool{}} }
+func newProxySet() *proxySet { return &proxySet{partitions: map[[2]string]bool{}} }
 
-func (r *relays) set(from, to string, cut bool) {
+func (r *proxySet) setPartition(from, to string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts[[2]string{from, to}] = cut
+	r.partitions[[2]string{from, to}] = cut
 }
 
-func (r *relays) isCut(from, to string) bool {
+func (r *proxySet) isPartitioned(from, to string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cuts[[2]string{from, to}]
+	return r.partitions[[2]string{from, to}]
 }
 
-func (r *relays) open(address, behind string) error {
+func (r *proxySet) open(address, behind string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -47,13 +47,13 @@
 			if err != nil {
 				return
 			}
-			pool.Go(func() { r.pass(in, address, behind) })
+			pool.Go(func() { r.forward(in, address, behind) })
 		}
 	})
 	return nil
 }
 
-func (r *relays) pass(in net.Conn, address, behind string) {
+func (r *proxySet) forward(in net.Conn, address, behind string) {
 	defer in.Close()
 	out, err := net.DialTimeout("tcp", behind, time.Second)
 	if err != nil {
@@ -66,7 +66,7 @@
 		if err != nil {
 			return
 		}
-		if r.isCut(line.From, address) {
+		if r.isPartitioned(line.From, address) {
 			continue
 		}
 		if err := transport.WriteFrame(out, line); err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (r *relays) close() {
+func (r *proxySet) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.listeners {
--- a/tool/scale/core.go
+++ b/tool/scale/core.go
@@ -24,25 +24,25 @@
 )
 
 // Core is what one core process is started with.
-type Core struct {
-	Address  string
-	Site     string
-	Data     string
-	Founders string
-	Profile  string
+type CoreConfig struct {
+	Address          string
+	Zone             string
+	DataDir          string
+	BootstrapMembers string
+	ProfilePath      string
 }
 
 // RunCore is a core process until it is told to end.
-func RunCore(c Core) error {
+func RunCore(c CoreConfig) error {
 	logline.Init("core@" + c.Address)
 	defer logline.Flush()
-	data, stored, err := store.Open(c.Data)
+	data, stored, err := store.Open(c.DataDir)
 	if err != nil {
 		return err
 	}
-	founders := strings.Split(c.Founders, ",")
-	main, err := center.New(center.Env{
-		Address: c.Address, Site: c.Site, Founders: founders, FreshID: run.ChanceID(), Boot: run.Chance(),
+	founders := strings.Split(c.BootstrapMembers, ",")
+	main, err := center.New(center.Config{
+		Address: c.Address, Zone: c.Zone, Founders: founders, NewID: run.RandomHexID(), BootID: run.RandomID(),
 	}, stored)
 	if err != nil {
 		return err
@@ -50,12 +50,12 @@
 	failed := make(chan error, 1)
 	h := host.New(c.Address, c.Address, data, func(err error) { failed <- err })
 	shard := h.Add(main)
-	h.Add(member.New(member.Env{
-		Self:  wire.Node{ID: main.ID(), Role: "keeper", Site: c.Site, Address: c.Address, Incarnation: time.Now().UnixMilli()},
-		Seeds: founders, Seed: run.Chance(),
-	}), wire.Shuffle, wire.ShuffleBack)
-	if c.Profile != "" {
-		f, err := os.Create(c.Profile)
+	h.Add(member.New(member.Config{
+		Self:  wire.Node{ID: main.ID(), Role: "keeper", Zone: c.Zone, Address: c.Address, Incarnation: time.Now().UnixMilli()},
+		Seeds: founders, Seed: run.RandomID(),
+	}), wire.KindShuffle, wire.KindShuffleReply)
+	if c.ProfilePath != "" {
+		f, err := os.Create(c.ProfilePath)
 		if err != nil {
 			return err
 		}
@@ -73,10 +73,10 @@
 	case err = <-failed:
 	case <-signals:
 	}
-	shard.Look(func() {
+	shard.Inspect(func() {
 		counters, _ := json.Marshal(main.Scheduler().Counters())
-		k := main.Keeper()
-		fmt.Fprintf(os.Stderr, "batches=%d serving=%v counters=%s\n", k.Batches(), k.Serving(), counters)
+		k := main.Replica()
+		fmt.Fprintf(os.Stderr, "batches=%d serving=%v counters=%s\n", k.WritesIssued(), k.Serving(), counters)
 	})
 	h.Close()
 	return err
--- a/tool/sim/actors.go
+++ b/tool/sim/actors.go
@@ -30,7 +30,7 @@
 	past     []run
 	runsSeen int
 	acked    map[ledger.Attempt]time.Duration
-	kept     []ledger.End
+	kept     []ledger.AttemptResult
 	gone     []time.Duration
 	unheard  [][2]time.Duration
 	spoiled  [][2]time.Duration
@@ -107,8 +107,8 @@
 // gone is the platform's operator, who knows that a machine will not come back
 // and says so until it is taken.
 func (s *Scenario) gone(h *hand) {
-	s.operate(machine.Ask{Kind: front.Gone, Name: h.name()}, func(_ time.Duration, r front.Reply) {
-		if r.Status == 200 {
+	s.operate(machine.Request{Kind: front.RequestConfirmDead, Name: h.name()}, func(_ time.Duration, r front.Reply) {
+		if r.StatusCode == 200 {
 			h.gone = append(h.gone, s.w.Now)
 		} else if !h.up && s.w.Now < s.end {
 			s.w.After(time.Second, func() { s.gone(h) })
@@ -128,37 +128,37 @@
 	}
 	h.order++
 	life, order := h.life, h.order
-	s.w.At(max(s.w.Now+time.Millisecond, h.w.Wakeup()+h.boot), func() {
+	s.w.At(max(s.w.Now+time.Millisecond, h.w.NextTimer()+h.boot), func() {
 		if h.life == life && h.order == order {
 			s.tickHand(h)
 		}
 	})
 }
 
-func (s *Scenario) sendBeat(h *hand, beat ledger.Beat) {
+func (s *Scenario) sendBeat(h *hand, beat ledger.Heartbeat) {
 	life := h.life
 	body := machine.MustJSON(beat)
 	address := h.fronts[h.turn%len(h.fronts)]
-	s.w.Call(h.name(), h.env.Site, address, machine.Ask{Kind: front.Beat, Body: body, Wait: worker.HoldFor}, worker.DropLate+time.Second, func(r front.Reply, ok bool) {
+	s.w.Call(h.name(), h.env.Site, address, machine.Request{Kind: front.RequestHeartbeat, Body: body, Wait: worker.HoldFor}, worker.DropLate+time.Second, func(r front.Reply, ok bool) {
 		if h.life != life || h.cut {
 			ok = false
 		}
-		if !ok || r.Status == 503 {
+		if !ok || r.StatusCode == 503 {
 			h.turn++
 		}
 		if h.life != life {
 			return
 		}
-		view, is := r.Body.(front.OrdersView)
-		good := ok && is && r.Status == 200
+		view, is := r.Body.(front.HeartbeatView)
+		good := ok && is && r.StatusCode == 200
 		if good {
-			for _, a := range view.Orders.Acks {
+			for _, a := range view.Reply.Acks {
 				if _, known := h.acked[a]; !known {
 					h.acked[a] = s.w.Now
 				}
 			}
 		}
-		h.w.Reply(s.w.Now-h.boot, beat.Number, good, view.Orders)
+		h.w.Reply(s.w.Now-h.boot, beat.Number, good, view.Reply)
 		s.tickHand(h)
 	})
 }
@@ -218,18 +218,18 @@
 			s.w.After(after, func() { s.submit(c) })
 		}
 	}
-	s.w.Call("caller", site, s.frontFor(c.turn), machine.Ask{Kind: front.Submit, Body: body}, 3*time.Second, func(r front.Reply, ok bool) {
+	s.w.Call("caller", site, s.frontFor(c.turn), machine.Request{Kind: front.RequestSubmit, Body: body}, 3*time.Second, func(r front.Reply, ok bool) {
 		switch {
 		case !ok:
 			again(100 * time.Millisecond)
-		case r.Status == 200:
+		case r.StatusCode == 200:
 			c.acceptedAt = s.w.Now
 			s.yes()
 			s.w.After(300*time.Millisecond, func() { s.poll(c) })
-		case r.Status == 503 || r.Status == 429:
+		case r.StatusCode == 503 || r.StatusCode == 429:
 			s.count("bounce-without-time")
 			if r.RetryAfter <= 0 {
-				s.fault("bounce-without-time", "status %d for %s says not when to come back", r.Status, c.spec.ID)
+				s.fault("bounce-without-time", "status %d for %s says not when to come back", r.StatusCode, c.spec.ID)
 			}
 			again(max(r.RetryAfter, 50*time.Millisecond))
 		default:
@@ -248,12 +248,12 @@
 		return
 	}
 	c.turn++
-	s.w.Call("caller", s.sites[c.turn%len(s.sites)], s.frontFor(c.turn), machine.Ask{Kind: front.Status, Name: c.spec.ID, Wait: time.Second}, 3*time.Second, func(r front.Reply, ok bool) {
+	s.w.Call("caller", s.sites[c.turn%len(s.sites)], s.frontFor(c.turn), machine.Request{Kind: front.RequestStatus, Name: c.spec.ID, Wait: time.Second}, 3*time.Second, func(r front.Reply, ok bool) {
 		again := 200 * time.Millisecond
 		if ok {
 			c.asked++
 		}
-		if ok && r.Status == 404 && c.forgotten == 0 {
+		if ok && r.StatusCode == 404 && c.forgotten == 0 {
 			c.forgotten = s.w.Now
 		}
 		if view, is := r.Body.(front.JobView); ok && is {
@@ -282,18 +282,18 @@
 
 // operate sends an operator's request until it has an answer; took hears when
 // the request first stood at daemons that could hear it. Bounds count from then.
-func (s *Scenario) operate(ask machine.Ask, took func(heardAt time.Duration, r front.Reply)) {
+func (s *Scenario) operate(ask machine.Request, took func(heardAt time.Duration, r front.Reply)) {
 	turn := s.w.chance.IntN(len(s.fronts))
-	if ask.Token == "" {
+	if ask.IdempotencyKey == "" {
 		s.asks++
-		ask.Token = fmt.Sprintf("ask-%d", s.asks)
+		ask.IdempotencyKey = fmt.Sprintf("ask-%d", s.asks)
 	}
 	heard := s.listen(s.w, func() bool { return s.hears(s.frontFor(turn)) })
 	var try func()
 	try = func() {
 		turn++
 		s.w.Call("operator", s.sites[turn%len(s.sites)], s.frontFor(turn), ask, 5*time.Second, func(r front.Reply, ok bool) {
-			if !ok || r.Status == 503 {
+			if !ok || r.StatusCode == 503 {
 				if s.w.Now < s.end {
 					s.w.After(200*time.Millisecond, try)
 				}
@@ -306,8 +306,8 @@
 }
 
 func (s *Scenario) cancel(c *caller) {
-	s.operate(machine.Ask{Kind: front.Cancel, Name: c.spec.ID}, func(heardAt time.Duration, r front.Reply) {
-		if r.Status == 200 {
+	s.operate(machine.Request{Kind: front.RequestCancel, Name: c.spec.ID}, func(heardAt time.Duration, r front.Reply) {
+		if r.StatusCode == 200 {
 			c.cancelAt = heardAt
 		}
 	})
@@ -315,36 +315,36 @@
 
 // empty asks for a site to be emptied, and to be refilled later.
 func (s *Scenario) empty(site string, keep time.Duration) {
-	s.operate(machine.Ask{Kind: front.Site, Name: site, On: true}, func(heardAt time.Duration, r front.Reply) {
-		if r.Status != 200 {
+	s.operate(machine.Request{Kind: front.RequestDrainZone, Name: site, Enable: true}, func(heardAt time.Duration, r front.Reply) {
+		if r.StatusCode != 200 {
 			return
 		}
 		e := &emptied{site: site, from: heardAt}
 		s.empties = append(s.empties, e)
 		s.w.After(keep, func() {
 			e.to = s.w.Now
-			s.operate(machine.Ask{Kind: front.Site, Name: site}, func(time.Duration, front.Reply) {})
+			s.operate(machine.Request{Kind: front.RequestDrainZone, Name: site}, func(time.Duration, front.Reply) {})
 		})
 	})
 }
 
 // change makes one plan change on the sequence that the operator last saw.
 func (s *Scenario) change(operator int, body string) {
-	s.operate(machine.Ask{Kind: front.PlanGet}, func(_ time.Duration, r front.Reply) {
+	s.operate(machine.Request{Kind: front.RequestConfigGet}, func(_ time.Duration, r front.Reply) {
 		var now struct {
 			Sequence uint64 `json:"sequence"`
 		}
-		if r.Status != 200 || json.Unmarshal(machine.MustJSON(r.Body), &now) != nil {
+		if r.StatusCode != 200 || json.Unmarshal(machine.MustJSON(r.Body), &now) != nil {
 			return
 		}
-		s.operate(machine.Ask{Kind: front.PlanPatch, Body: []byte(body), Base: now.Sequence}, func(heardAt time.Duration, r front.Reply) {
+		s.operate(machine.Request{Kind: front.RequestConfigPatch, Body: []byte(body), BaseVersion: now.Sequence}, func(heardAt time.Duration, r front.Reply) {
 			out, is := r.Body.(front.Outcome)
 			if !is {
 				return
 			}
-			if r.Status == 200 {
-				s.planned(heardAt, out.Sequence)
-			} else if out.Code == code.StalePlan {
+			if r.StatusCode == 200 {
+				s.planned(heardAt, out.Version)
+			} else if out.Code == code.StaleConfig {
 				s.races++
 			}
 		})
--- a/tool/sim/beside.go
+++ b/tool/sim/beside.go
@@ -55,7 +55,7 @@
 	fence   uint64
 	hold    time.Duration
 	run     map[ledger.Attempt]*ward
-	ended   []agent.Ended
+	ended   []agent.EndedRun
 	seen    map[ledger.Attempt]bool
 	leaving time.Duration
 	fails   bool
@@ -65,7 +65,7 @@
 
 // place is a machine with its side, at which one life of a worker follows another.
 type place struct {
-	lies    ledger.Room // breaks the contract: said to be free beside the total
+	lies    ledger.Resources // breaks the contract: said to be free beside the total
 	number  int
 	address string
 	side    *node
@@ -73,7 +73,7 @@
 	rack    string
 	service string
 	labels  []string
-	total   ledger.Room
+	total   ledger.Resources
 	lives   int
 	now     *beside
 }
@@ -129,7 +129,7 @@
 }
 
 // how is each outcome in the words of the contract.
-var how = map[string]string{"good": agent.Good, "bad": agent.Failed, "stopped": agent.Stopped, "lapsed": agent.Lost, "broken": agent.Lost, "alone": agent.Lost}
+var how = map[string]string{"good": agent.OutcomeSucceeded, "bad": agent.OutcomeFailed, "stopped": agent.OutcomeStopped, "lapsed": agent.OutcomeLost, "broken": agent.OutcomeLost, "alone": agent.OutcomeLost}
 
 // end ends one run, and says so from the next call on. A gang breaks with it.
 func (b *beside) end(a ledger.Attempt, outcome string, quiet bool) {
@@ -143,7 +143,7 @@
 	b.hand.past = append(b.hand.past, w.run)
 	if outcome != "" {
 		b.ends++
-		b.ended = append(b.ended, agent.Ended{Number: b.ends, Run: agent.Run{Attempt: a, Saved: b.saved(a, w), Percent: w.percent}, How: how[outcome], Why: outcome})
+		b.ended = append(b.ended, agent.EndedRun{Number: b.ends, Run: agent.Run{Attempt: a, Checkpoint: b.saved(a, w), Percent: w.percent}, Outcome: how[outcome], Reason: outcome})
 	}
 	if w.gang != nil && !quiet {
 		w.gang.breaks(b.c)
@@ -185,47 +185,47 @@
 	}
 	b.number++
 	number, sent := b.number, b.local(b.c.w.Now)
-	said := agent.Call{Worker: b.name(), Number: number, Address: b.place.address, Service: b.place.service, Site: b.place.site, Rack: b.place.rack,
+	said := agent.Call{Worker: b.name(), Number: number, Address: b.place.address, Service: b.place.service, Zone: b.place.site, Rack: b.place.rack,
 		Labels: b.place.labels, Free: b.place.total.Add(b.place.lies), Leaving: b.leaving > 0 && !b.mute, Ended: slices.Clone(b.ended)}
 	if said.Leaving {
 		said.LeavesIn = max(time.Millisecond, b.leaving-b.c.w.Now)
 	}
 	for _, a := range b.attempts() {
-		said.Running = append(said.Running, agent.Run{Attempt: a, Saved: b.saved(a, b.run[a]), Percent: b.run[a].percent})
+		said.Running = append(said.Running, agent.Run{Attempt: a, Checkpoint: b.saved(a, b.run[a]), Percent: b.run[a].percent})
 	}
-	ask := machine.Ask{Kind: agent.AskCall, Name: b.name(), Value: said, Wait: callWithin}
+	ask := machine.Request{Kind: agent.RequestCall, Name: b.name(), Decoded: said, Wait: callWithin}
 	b.c.w.Ask(b.place.address, b.place.site, b.place.side.address, ask, callWithin, func(v any) {
-		b.c.w.trace(b.name(), number, len(v.(agent.Told).Begins))
+		b.c.w.trace(b.name(), number, len(v.(agent.CallReply).Starts))
 	}, func(v any, ok bool) {
 		if !b.up || number != b.number {
 			return
 		}
 		again := 100 * time.Millisecond
-		if told, is := v.(agent.Told); ok && is {
+		if told, is := v.(agent.CallReply); ok && is {
 			b.told(sent, told)
-			again = max(again, told.Again)
+			again = max(again, told.NextCallIn)
 		}
 		b.c.w.After(again, b.call)
 	})
 }
 
 // told takes the answer to the last call.
-func (b *beside) told(sent time.Duration, t agent.Told) {
+func (b *beside) told(sent time.Duration, t agent.CallReply) {
 	now := b.c.w.Now
-	if t.Fence > 0 && t.Fence < b.fence {
+	if t.FencingEpoch > 0 && t.FencingEpoch < b.fence {
 		b.c.excuse("fence", "an answer below the fence is dropped by the worker")
 		return
 	}
-	b.fence = max(b.fence, t.Fence)
-	b.ended = slices.DeleteFunc(b.ended, func(e agent.Ended) bool {
-		if e.Number > t.Seen {
+	b.fence = max(b.fence, t.FencingEpoch)
+	b.ended = slices.DeleteFunc(b.ended, func(e agent.EndedRun) bool {
+		if e.Number > t.AcknowledgedEnds {
 			return false
 		}
 		b.hand.acked[e.Attempt] = now
 		return true
 	})
-	if t.Hold > 0 && sent+t.Hold > b.hold {
-		b.hold = sent + t.Hold
+	if t.LeaseRemaining > 0 && sent+t.LeaseRemaining > b.hold {
+		b.hold = sent + t.LeaseRemaining
 		if b.local(now) < b.hold {
 			b.hand.heard(now)
 			b.c.w.At(b.world(b.hold), b.lapse)
@@ -236,7 +236,7 @@
 			b.c.w.After(time.Duration(10+b.c.w.chance.IntN(40))*time.Millisecond, func() { b.end(a, "stopped", false) })
 		}
 	}
-	for _, begin := range t.Begins {
+	for _, begin := range t.Starts {
 		if !b.seen[begin.Attempt] {
 			b.seen[begin.Attempt] = true
 			b.begin(begin)
@@ -258,11 +258,11 @@
 	}
 }
 
-func (b *beside) begin(order agent.Begin) {
+func (b *beside) begin(order agent.StartOrder) {
 	now := b.c.w.Now
 	if b.local(now) >= b.hold && !b.keeps {
 		b.ends++
-		b.ended = append(b.ended, agent.Ended{Number: b.ends, Run: agent.Run{Attempt: order.Attempt}, How: agent.Lost, Why: "refused"})
+		b.ended = append(b.ended, agent.EndedRun{Number: b.ends, Run: agent.Run{Attempt: order.Attempt}, Outcome: agent.OutcomeLost, Reason: "refused"})
 		return
 	}
 	var payload struct {
@@ -278,27 +278,27 @@
 	}
 	job := b.c.byID[order.Job]
 	w := &ward{took: time.Duration(payload.RunMs[step]) * time.Millisecond, fails: b.fails && b.c.w.chance.IntN(3) == 0}
-	w.run = run{Run: worker.Run{Attempt: order.Attempt, Worker: b.name(), Class: job.spec.Class, Service: b.place.service, Room: task.Room, Gang: task.Gang}, from: now}
-	if order.Saved != "" {
+	w.run = run{Run: worker.Run{Attempt: order.Attempt, Worker: b.name(), Class: job.spec.Class, Service: b.place.service, Room: task.Resources, Gang: task.Gang}, from: now}
+	if order.Checkpoint != "" {
 		b.c.count("saved-of-another")
-		if _, err := fmt.Sscanf(strings.TrimPrefix(order.Saved, textOf(order.Attempt, task.Gang)), "%d", &w.percent); err != nil {
-			b.c.fault("saved-of-another", "%s on %s is handed %q", order.Attempt, b.name(), order.Saved)
+		if _, err := fmt.Sscanf(strings.TrimPrefix(order.Checkpoint, textOf(order.Attempt, task.Gang)), "%d", &w.percent); err != nil {
+			b.c.fault("saved-of-another", "%s on %s is handed %q", order.Attempt, b.name(), order.Checkpoint)
 		}
 	}
-	if !task.Progress {
+	if !task.Checkpointed {
 		w.percent = 0
 	}
 	b.run[order.Attempt] = w
 	if task.Gang == "" {
-		b.proceed(order.Attempt, w, task.Progress, task.Lasting)
+		b.proceed(order.Attempt, w, task.Checkpointed, task.LongRunning)
 		return
 	}
-	b.join(order.Attempt, w, task.Progress)
+	b.join(order.Attempt, w, task.Checkpointed)
 }
 
 // join waits for the other members, for so long only.
 func (b *beside) join(a ledger.Attempt, w *ward, progress bool) {
-	key := fmt.Sprintf("%s/%s/%d", a.Job, w.run.Gang, a.Try)
+	key := fmt.Sprintf("%s/%s/%d", a.Job, w.run.Gang, a.Number)
 	g := b.c.rings[key]
 	if g == nil {
 		g = &ring{size: b.c.gangSize(a.Job, w.run.Gang)}
@@ -383,7 +383,7 @@
 			return
 		}
 		if c.w.chance.IntN(2) == 0 {
-			c.w.Ask(p.address, p.site, p.side.address, machine.Ask{Kind: agent.AskLeave, Name: b.name()}, callWithin, func(any) {}, func(any, bool) {})
+			c.w.Ask(p.address, p.site, p.side.address, machine.Request{Kind: agent.RequestLeave, Name: b.name()}, callWithin, func(any) {}, func(any, bool) {})
 		}
 		b.death()
 		c.w.After(back, func() { c.birth(p) })
--- a/tool/sim/both.go
+++ b/tool/sim/both.go
@@ -17,12 +17,12 @@
 )
 
 // keeper gives the keeper of a process that has one.
-func (n *node) keeper() *keeper.Keeper {
+func (n *node) keeper() *keeper.Replica {
 	switch m := n.main.(type) {
-	case *keeper.Keeper:
+	case *keeper.Replica:
 		return m
-	case *center.Center:
-		return m.Keeper()
+	case *center.Control:
+		return m.Replica()
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 			newest = v
 		}
 	}
-	for _, w := range newest.Witnesses {
+	for _, w := range newest.Voters {
 		if !alive[w.ID] {
 			return false
 		}
--- a/tool/sim/center_callers.go
+++ b/tool/sim/center_callers.go
@@ -16,21 +16,21 @@
 func (c *Centers) door(turn int) *node { return c.doors[turn%len(c.doors)] }
 
 // carry hands a command to a door's relay.
-func (c *Centers) carry(who string, turn int, cmd ledger.Command, back func(ledger.Answer, bool)) {
+func (c *Centers) carry(who string, turn int, cmd ledger.Command, back func(ledger.Result, bool)) {
 	d := c.door(turn)
-	c.w.Ask(who, d.site, d.address, machine.Ask{
-		Kind: relay.AskCommand, Value: cmd, Wait: commandWait,
+	c.w.Ask(who, d.site, d.address, machine.Request{
+		Kind: relay.RequestCommand, Decoded: cmd, Wait: commandWait,
 	}, commandWait+time.Second, func(v any) {
-		c.w.trace(who, d.address, cmd.Kind, v.(ledger.Answer).Code.String())
+		c.w.trace(who, d.address, cmd.Kind, v.(ledger.Result).Code.String())
 	}, func(v any, ok bool) {
-		a, is := v.(ledger.Answer)
+		a, is := v.(ledger.Result)
 		back(a, ok && is)
 	})
 }
 
 // refused says whether an answer promises that nothing came of the command.
-func refused(a ledger.Answer) bool {
-	return a.Code != code.NoAnswer && (a.Code.Status() == 503 || a.Code.Status() == 429)
+func refused(a ledger.Result) bool {
+	return a.Code != code.NoResponse && (a.Code.HTTPStatus() == 503 || a.Code.HTTPStatus() == 429)
 }
 
 // submit hands a job in until there is a clear answer. Some callers give up on
@@ -47,13 +47,13 @@
 		}
 	}
 	c.carry("caller", one.turn, ledger.Command{
-		Kind: ledger.KindAccept, Host: centerHost, Path: one.asks.Path, Brief: true, Accept: one.asks,
-	}, func(a ledger.Answer, ok bool) {
+		Kind: ledger.KindAcceptJob, Host: centerHost, Path: one.asks.Path, Summary: true, Job: one.asks,
+	}, func(a ledger.Result, ok bool) {
 		switch {
 		case !ok:
 			one.unclear = true
 			again(100 * time.Millisecond)
-		case a.Code.Good():
+		case a.Code.IsSuccess():
 			if one.acceptedAt > 0 {
 				return
 			}
@@ -73,12 +73,12 @@
 				return
 			}
 			again(max(a.RetryAfter, 50*time.Millisecond))
-		case a.Code == code.NoAnswer:
+		case a.Code == code.NoResponse:
 			one.unclear = true
 			again(max(a.RetryAfter, 50*time.Millisecond))
 		default:
 			one.bounced = a.Code
-			c.fault("long-unfinished", "%s is refused: %s %s", one.spec.ID, a.Code, a.Why)
+			c.fault("long-unfinished", "%s is refused: %s %s", one.spec.ID, a.Code, a.Reason)
 		}
 	})
 }
@@ -89,20 +89,20 @@
 	}
 	one.turn++
 	c.carry("caller", one.turn, ledger.Command{
-		Kind: ledger.KindRead, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path,
-	}, func(a ledger.Answer, ok bool) {
-		if ok && (a.Code.Good() || a.Code == code.UnknownJob) {
+		Kind: ledger.KindReadJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path,
+	}, func(a ledger.Result, ok bool) {
+		if ok && (a.Code.IsSuccess() || a.Code == code.UnknownJob) {
 			one.asked++
 		}
 		if ok && a.Code == code.UnknownJob && one.forgotten == 0 {
 			one.forgotten = c.w.Now
 		}
-		if ok && a.Code.Good() {
+		if ok && a.Code.IsSuccess() {
 			one.state = a.Job.State
 			if one.state == ledger.Done || one.state == ledger.Failed || one.state == ledger.Cancelled {
 				one.overAt = c.w.Now
 				for i, t := range a.Job.Tasks {
-					if !t.Closed() {
+					if !t.Terminal() {
 						one.early = a.Job.Spec.Tasks[i].ID
 					}
 				}
--- a/tool/sim/center_faults.go
+++ b/tool/sim/center_faults.go
@@ -156,7 +156,7 @@
 			name := fmt.Sprintf("crowd%d-%d", c.w.Now/time.Millisecond, i)
 			if i%3 == 0 {
 				c.submit(c.job("batch", name,
-					[]ledger.StepSpec{{Count: 4}, {Count: 1, After: []int{0}}}, []int64{400, 50}, ledger.Repeat{}))
+					[]ledger.StepSpec{{Count: 4}, {Count: 1, DependsOn: []int{0}}}, []int64{400, 50}, ledger.Repeat{}))
 			} else {
 				c.submit(c.job("lookup", name, []ledger.StepSpec{{Count: 1}}, []int64{60}, ledger.Repeat{}))
 			}
--- a/tool/sim/center_jobs.go
+++ b/tool/sim/center_jobs.go
@@ -16,8 +16,8 @@
 		service = centerOther
 	}
 	for i := range steps {
-		if steps[i].Room == (ledger.Room{}) {
-			steps[i].Room = ledger.Room{Slots: 1, MemoryMB: 1}
+		if steps[i].Resources == (ledger.Resources{}) {
+			steps[i].Resources = ledger.Resources{Slots: 1, MemoryMB: 1}
 		}
 	}
 	payload := machine.MustJSON(map[string]any{"runMs": ms})
@@ -39,7 +39,7 @@
 	for t := range times {
 		for s, step := range steps {
 			var after []string
-			for _, dep := range step.After {
+			for _, dep := range step.DependsOn {
 				for n := range steps[dep].Count {
 					after = append(after, fmt.Sprintf("%d.%d.%d", t, dep, n))
 				}
@@ -50,8 +50,8 @@
 			}
 			for n := range step.Count {
 				out = append(out, ledger.TaskSpec{
-					ID: fmt.Sprintf("%d.%d.%d", t, s, n), After: after, Room: step.Room, Labels: step.Labels, Gang: gang,
-					AllowedDefects: defects, Placing: step.Placing, Time: t, Step: s,
+					ID: fmt.Sprintf("%d.%d.%d", t, s, n), DependsOn: after, Resources: step.Resources, Labels: step.Labels, Gang: gang,
+					MaxFailures: defects, Placement: step.Placement, Repetition: t, Step: s,
 				})
 			}
 		}
@@ -68,7 +68,7 @@
 	for i, t := range one.spec.Tasks {
 		if t.ID == a.Task {
 			if r := one.asks.Repeat; r.Count > 0 {
-				due = r.FirstAt.Add(time.Duration(t.Time) * r.Every.Duration)
+				due = r.FirstAt.Add(time.Duration(t.Repetition) * r.Every.Duration)
 			}
 			return &one.spec.Tasks[i], t.Step, due
 		}
@@ -109,22 +109,22 @@
 		give(c.job("lookup", fmt.Sprintf("lookup-%d", i), []ledger.StepSpec{{Count: 1}}, []int64{60}, ledger.Repeat{}), i)
 	})
 	each(1.6, func(i int) {
-		steps, ms := []ledger.StepSpec{{Count: 2}, {Count: 1, After: []int{0}}}, []int64{250, 250}
+		steps, ms := []ledger.StepSpec{{Count: 2}, {Count: 1, DependsOn: []int{0}}}, []int64{250, 250}
 		switch i % 5 {
 		case 1:
 			steps = []ledger.StepSpec{
-				{Count: 3, Gang: true, Placing: ledger.Placing{SameRack: true, Progress: true}},
-				{Count: 1, After: []int{0}},
+				{Count: 3, Gang: true, Placement: ledger.Placement{SameRack: true, Checkpointed: true}},
+				{Count: 1, DependsOn: []int{0}},
 			}
 			ms = []int64{900, 100}
 		case 2:
-			steps = []ledger.StepSpec{{Count: 4, Placing: ledger.Placing{PerWorker: 1}}, {Count: 2, Labels: []string{"ssd"}}}
+			steps = []ledger.StepSpec{{Count: 4, Placement: ledger.Placement{MaxPerWorker: 1}}, {Count: 2, Labels: []string{"ssd"}}}
 			ms = []int64{800, 200}
 		case 3:
 			steps = []ledger.StepSpec{
-				{Count: 1, Placing: ledger.Placing{NearRack: "r1"}},
-				{Count: 2, Gang: true, After: []int{0}},
-				{Count: 2, After: []int{0, 1}, Placing: ledger.Placing{Copies: true}},
+				{Count: 1, Placement: ledger.Placement{PreferredRack: "r1"}},
+				{Count: 2, Gang: true, DependsOn: []int{0}},
+				{Count: 2, DependsOn: []int{0, 1}, Placement: ledger.Placement{AllowsDuplicates: true}},
 			}
 			ms = []int64{100, 400, 200}
 		}
@@ -132,18 +132,18 @@
 	})
 	each(0.5, func(i int) {
 		steps := []ledger.StepSpec{{
-			Count: 2, Room: ledger.Room{Slots: 2, MemoryMB: 12},
-			Placing: ledger.Placing{Progress: true, Guess: millis(4000)},
+			Count: 2, Resources: ledger.Resources{Slots: 2, MemoryMB: 12},
+			Placement: ledger.Placement{Checkpointed: true, ExpectedRunTime: millis(4000)},
 		}}
 		if i%3 == 0 {
-			steps[0].Copies = true
+			steps[0].AllowsDuplicates = true
 		}
 		give(c.job("long", fmt.Sprintf("long-%d", i), steps, []int64{4000}, ledger.Repeat{}), i)
 	})
 	each(0.6, func(i int) {
 		give(c.job("print", fmt.Sprintf("print-%d", i), []ledger.StepSpec{
-			{Count: 2, Room: ledger.Room{Slots: 3, MemoryMB: 30}},
-			{Count: 1, After: []int{0}},
+			{Count: 2, Resources: ledger.Resources{Slots: 3, MemoryMB: 30}},
+			{Count: 1, DependsOn: []int{0}},
 		}, []int64{600, 100}, ledger.Repeat{}), i)
 	})
 	each(0.25, func(i int) {
@@ -153,12 +153,12 @@
 			Every:   millis(1200),
 		}
 		give(c.job("batch", fmt.Sprintf("repeated-%d", i),
-			[]ledger.StepSpec{{Count: 2}, {Count: 1, After: []int{0}}}, []int64{150, 50}, repeat), i)
+			[]ledger.StepSpec{{Count: 2}, {Count: 1, DependsOn: []int{0}}}, []int64{150, 50}, repeat), i)
 	})
 	for i := range 2 {
 		c.w.At(8*time.Second, func() {
 			one := c.job("long", fmt.Sprintf("lasting-%d", i), []ledger.StepSpec{
-				{Count: 2, Placing: ledger.Placing{Lasting: true, Progress: i == 0}},
+				{Count: 2, Placement: ledger.Placement{LongRunning: true, Checkpointed: i == 0}},
 			}, []int64{1 << 30}, ledger.Repeat{})
 			c.submit(one)
 			c.w.At(c.env.For-3*time.Second, func() { c.cancel(one) })
--- a/tool/sim/center_operators.go
+++ b/tool/sim/center_operators.go
@@ -12,14 +12,14 @@
 
 // operate sends an operator's command until it has an answer; took hears when it
 // first stood at a door where it could be heard.
-func (c *Centers) operate(cmd ledger.Command, took func(heardAt time.Duration, a ledger.Answer)) {
+func (c *Centers) operate(cmd ledger.Command, took func(heardAt time.Duration, a ledger.Result)) {
 	turn := c.w.chance.IntN(3)
 	heard := c.listen(c.w, func() bool { return c.hears(c.door(turn)) })
 	var try func()
 	try = func() {
 		turn++
-		c.carry("operator", turn, cmd, func(a ledger.Answer, ok bool) {
-			if !ok || a.Code == code.NoAnswer || refused(a) {
+		c.carry("operator", turn, cmd, func(a ledger.Result, ok bool) {
+			if !ok || a.Code == code.NoResponse || refused(a) {
 				if c.w.Now < c.end {
 					c.w.After(200*time.Millisecond, try)
 				}
@@ -33,9 +33,9 @@
 
 func (c *Centers) cancel(one *caller) {
 	c.operate(ledger.Command{
-		Kind: ledger.KindCancel, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path, Brief: true,
-	}, func(heardAt time.Duration, a ledger.Answer) {
-		if a.Code.Good() {
+		Kind: ledger.KindCancelJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path, Summary: true,
+	}, func(heardAt time.Duration, a ledger.Result) {
+		if a.Code.IsSuccess() {
 			one.cancelAt = heardAt
 		} else if one.acceptedAt == 0 && one.bounced == 0 && c.w.Now < c.end {
 			c.w.After(500*time.Millisecond, func() { c.cancel(one) })
@@ -50,9 +50,9 @@
 
 func (c *Centers) site(name string, keep time.Duration) {
 	c.operate(ledger.Command{
-		Kind: ledger.KindSite, Name: name, On: true, Token: c.token(), Asked: ledger.AskedUnknown,
-	}, func(heardAt time.Duration, a ledger.Answer) {
-		if !a.Code.Good() {
+		Kind: ledger.KindDrainZone, Name: name, Drain: true, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
+	}, func(heardAt time.Duration, a ledger.Result) {
+		if !a.Code.IsSuccess() {
 			c.emptying = false
 			return
 		}
@@ -61,8 +61,8 @@
 		c.w.After(keep, func() {
 			e.to, c.emptying = c.w.Now, false
 			c.operate(ledger.Command{
-				Kind: ledger.KindSite, Name: name, Token: c.token(), Asked: ledger.AskedUnknown,
-			}, func(time.Duration, ledger.Answer) {})
+				Kind: ledger.KindDrainZone, Name: name, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
+			}, func(time.Duration, ledger.Result) {})
 		})
 	})
 }
@@ -72,13 +72,13 @@
 	base := c.planned
 	body := centerPlan(100 + int(base))
 	c.operate(ledger.Command{
-		Kind: ledger.KindPlan, Token: c.token(), Asked: ledger.AskedUnknown,
-		Plan: ledger.PlanChange{Base: base, Body: body},
-	}, func(_ time.Duration, a ledger.Answer) {
-		if a.Code.Good() {
+		Kind: ledger.KindChangeConfig, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
+		ConfigChange: ledger.ConfigChange{BaseVersion: base, Body: body},
+	}, func(_ time.Duration, a ledger.Result) {
+		if a.Code.IsSuccess() {
 			c.planned = max(c.planned, base+1)
-		} else if a.Code != code.StalePlan {
-			c.fault("plan-went-back", "a plan is refused: %s %s", a.Code, a.Why)
+		} else if a.Code != code.StaleConfig {
+			c.fault("plan-went-back", "a plan is refused: %s %s", a.Code, a.Reason)
 		}
 	})
 }
@@ -90,11 +90,11 @@
 		return
 	}
 	known := c.planned
-	c.carry("operator", c.w.chance.IntN(3), ledger.Command{Kind: ledger.KindReadPlan}, func(a ledger.Answer, ok bool) {
-		if ok && a.Code.Good() && known > 0 {
+	c.carry("operator", c.w.chance.IntN(3), ledger.Command{Kind: ledger.KindReadConfig}, func(a ledger.Result, ok bool) {
+		if ok && a.Code.IsSuccess() && known > 0 {
 			c.count("plan-went-back")
-			if a.Plan == nil || a.Plan.Sequence < known {
-				c.fault("plan-went-back", "at %s plan %d is read, %d was acknowledged before", secs(c.w.Now), a.Sequence, known)
+			if a.Config == nil || a.Config.Version < known {
+				c.fault("plan-went-back", "at %s plan %d is read, %d was acknowledged before", secs(c.w.Now), a.ConfigVersion, known)
 			}
 		}
 	})
--- a/tool/sim/center_plan.go
+++ b/tool/sim/center_plan.go
@@ -8,21 +8,23 @@
 	"sorrelloom/core/plan"
 )
 
-func millis(ms int64) plan.Span { return plan.Span{Duration: time.Duration(ms) * time.Millisecond} }
+func millis(ms int64) plan.Duration {
+	return plan.Duration{Duration: time.Duration(ms) * time.Millisecond}
+}
 
 // centerPlan is a plan as an outside system's translator makes it.
 func centerPlan(priority int) []byte {
 	p := plan.Default()
-	p.Sites = []string{"a", "b", "c"}
+	p.Zones = []string{"a", "b", "c"}
 	p.Policies = plan.Policies{Order: "priority", Borrow: "true"}
 	p.Services = map[string]plan.Service{
-		centerMain: {AnyLabel: true, Classes: map[string]plan.Class{
-			"lookup": {Priority: 1000, Quick: true, Share: 33, AllowedDefects: 3, Silence: plan.Restart},
-			"batch":  {Priority: 990, Share: 33, AllowedDefects: 3, Silence: plan.Restart},
-			"long":   {Priority: priority, Share: 33, AllowedDefects: 5, Silence: plan.Restart},
+		centerMain: {AllowAnyLabel: true, Classes: map[string]plan.Class{
+			"lookup": {Priority: 1000, Quick: true, Share: 33, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
+			"batch":  {Priority: 990, Share: 33, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
+			"long":   {Priority: priority, Share: 33, MaxFailures: 5, LostWorkerPolicy: plan.RestartOnLostWorker},
 		}},
-		centerOther: {AnyLabel: true, Classes: map[string]plan.Class{
-			"print": {Priority: 990, Share: 100, AllowedDefects: 3, Silence: plan.Restart},
+		centerOther: {AllowAnyLabel: true, Classes: map[string]plan.Class{
+			"print": {Priority: 990, Share: 100, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
 		}},
 	}
 	for _, class := range []string{"lookup", "batch", "long", "print"} {
@@ -30,13 +32,13 @@
 		if class == "print" {
 			service = centerOther
 		}
-		p.Entries = append(p.Entries, plan.Entry{
+		p.Routes = append(p.Routes, plan.Route{
 			Name: class, Host: centerHost, Prefix: "/" + class, Service: service, Class: class,
 		})
 	}
-	p.Limits.EndsAtCutoff = true
-	p.Limits.Lease, p.Limits.Margin, p.Limits.StartBy, p.Limits.Silent =
+	p.Limits.KilledAtLeaseExpiry = true
+	p.Limits.LeaseDuration, p.Limits.ExpiryMargin, p.Limits.StartTimeout, p.Limits.HeartbeatTimeout =
 		millis(6000), millis(480), millis(3800), millis(1500)
-	p.Limits.RunLimit, p.Limits.MaxLosses, p.Limits.MaxTasks = millis(24*3600*1000), 1_000_000, 10_000
+	p.Limits.RunLimit, p.Limits.MaxLostAttempts, p.Limits.MaxTasks = millis(24*3600*1000), 1_000_000, 10_000
 	return machine.MustJSON(p)
 }
--- a/tool/sim/center_result.go
+++ b/tool/sim/center_result.go
@@ -26,7 +26,7 @@
 	if n == nil || c.w.Verbose == nil {
 		return
 	}
-	l := n.main.(*center.Center).Keeper().Ledger()
+	l := n.main.(*center.Control).Replica().Store()
 	for _, one := range c.callers {
 		if one.acceptedAt > 0 && one.overAt == 0 {
 			job, _ := l.Job(one.spec.ID)
@@ -34,7 +34,7 @@
 		}
 	}
 	for _, w := range l.Workers() {
-		c.w.say("worker %s live %v room %+v of %s", w.ID(), l.Live(w), l.Room(w.ID()), machine.MustJSON(w))
+		c.w.say("worker %s live %v room %+v of %s", w.ID(), l.Live(w), l.FreeResources(w.ID()), machine.MustJSON(w))
 	}
 }
 
@@ -86,8 +86,8 @@
 		}
 	}
 	for _, n := range c.centers {
-		if m, ok := n.main.(*center.Center); ok {
-			res.Views = max(res.Views, m.Keeper().View().Epoch)
+		if m, ok := n.main.(*center.Control); ok {
+			res.Views = max(res.Views, m.Replica().View().Epoch)
 		}
 	}
 	res.Broken, res.Judged, res.Excused, res.Played = c.broken, c.judged, c.excused, c.played
--- a/tool/sim/centers_test.go
+++ b/tool/sim/centers_test.go
@@ -110,10 +110,10 @@
 
 // alterSteps changes the steps of every job on its way from a door to a center.
 func alterSteps(c *Centers, change func(*ledger.JobSpec)) {
-	c.w.alter = func(n *node, s machine.Send) machine.Send {
-		if b, ok := s.Body.(wire.CommandBody); ok && b.Command.Kind == ledger.KindAccept {
-			b.Command.Accept.Steps = slices.Clone(b.Command.Accept.Steps)
-			change(&b.Command.Accept)
+	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+		if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindAcceptJob {
+			b.Command.Job.Steps = slices.Clone(b.Command.Job.Steps)
+			change(&b.Command.Job)
 			s.Body = b
 		}
 		return s
@@ -121,10 +121,10 @@
 }
 
 // alterAnswer changes the answers to commands on their way to a door.
-func alterAnswer(c *Centers, change func(a *ledger.Answer)) {
-	c.w.alter = func(n *node, s machine.Send) machine.Send {
-		if b, ok := s.Body.(wire.CommandBackBody); ok {
-			change(&b.Answer)
+func alterAnswer(c *Centers, change func(a *ledger.Result)) {
+	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+		if b, ok := s.Body.(wire.CommandReply); ok {
+			change(&b.Result)
 			s.Body = b
 		}
 		return s
@@ -132,16 +132,16 @@
 }
 
 // alterStarts changes the starts on their way to a side.
-func alterStarts(c *Centers, change func(ledger.Start) (ledger.Start, bool)) {
-	c.w.alter = func(n *node, s machine.Send) machine.Send {
-		if b, ok := s.Body.(wire.BeatBackBody); ok {
-			var starts []ledger.Start
-			for _, start := range b.Answer.Orders.Starts {
+func alterStarts(c *Centers, change func(ledger.StartOrder) (ledger.StartOrder, bool)) {
+	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+		if b, ok := s.Body.(wire.HeartbeatReply); ok {
+			var starts []ledger.StartOrder
+			for _, start := range b.Result.Heartbeat.Starts {
 				if start, keep := change(start); keep {
 					starts = append(starts, start)
 				}
 			}
-			b.Answer.Orders.Starts = starts
+			b.Result.Heartbeat.Starts = starts
 			s.Body = b
 		}
 		return s
@@ -149,12 +149,12 @@
 }
 
 // alterEnds changes the ends in what a side reports.
-func alterEnds(c *Centers, change func(*ledger.End)) {
-	c.w.alter = func(n *node, s machine.Send) machine.Send {
-		if b, ok := s.Body.(wire.BeatBody); ok {
-			b.Beat.Ended = slices.Clone(b.Beat.Ended)
-			for i := range b.Beat.Ended {
-				change(&b.Beat.Ended[i])
+func alterEnds(c *Centers, change func(*ledger.AttemptResult)) {
+	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+		if b, ok := s.Body.(wire.HeartbeatRequest); ok {
+			b.Heartbeat.Ended = slices.Clone(b.Heartbeat.Ended)
+			for i := range b.Heartbeat.Ended {
+				change(&b.Heartbeat.Ended[i])
 			}
 			s.Body = b
 		}
@@ -196,16 +196,16 @@
 			})
 		}},
 		{"again-after-good", "a good end is told as a lost one", func(c *Centers) {
-			alterEnds(c, func(e *ledger.End) {
-				if strings.HasPrefix(e.Job, "batch-1") && e.Try == 1 {
-					e.Good, e.Lost = false, true
+			alterEnds(c, func(e *ledger.AttemptResult) {
+				if strings.HasPrefix(e.Job, "batch-1") && e.Number == 1 {
+					e.Succeeded, e.Lost = false, true
 				}
 			})
 		}},
 		{"before-dependency", "steps do not wait", func(c *Centers) {
 			alterSteps(c, func(j *ledger.JobSpec) {
 				for i := range j.Steps {
-					j.Steps[i].After = nil
+					j.Steps[i].DependsOn = nil
 				}
 			})
 		}},
@@ -225,38 +225,38 @@
 		}},
 		{"over-room", "workers say that they have more", func(c *Centers) {
 			for _, p := range c.places {
-				p.lies = ledger.Room{Slots: 100, MemoryMB: 100}
+				p.lies = ledger.Resources{Slots: 100, MemoryMB: 100}
 			}
 			c.w.At(10*time.Second, func() { CenterKinds["crowd"](c) })
 		}},
 		{"crowded-worker", "the bound for each worker is left out", func(c *Centers) {
 			alterSteps(c, func(j *ledger.JobSpec) {
 				for i := range j.Steps {
-					j.Steps[i].PerWorker = 0
+					j.Steps[i].MaxPerWorker = 0
 				}
 			})
 		}},
 		{"defects-spent", "failures are told as lost", func(c *Centers) {
 			workers(c, 3*time.Second, func(b *beside) { b.fails = true })
-			alterEnds(c, func(e *ledger.End) { e.Lost = e.Lost || !e.Good && !e.Stopped })
+			alterEnds(c, func(e *ledger.AttemptResult) { e.Lost = e.Lost || !e.Succeeded && !e.Stopped })
 		}},
 		{"gang-alone", "one member of each gang is not told, and said to run", func(c *Centers) {
 			untold := map[string][]ledger.Attempt{}
-			c.w.alter = func(n *node, s machine.Send) machine.Send {
+			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
 				switch b := s.Body.(type) {
-				case wire.BeatBackBody:
-					var starts []ledger.Start
-					for _, start := range b.Answer.Orders.Starts {
+				case wire.HeartbeatReply:
+					var starts []ledger.StartOrder
+					for _, start := range b.Result.Heartbeat.Starts {
 						if start.Gang != "" && strings.HasSuffix(start.Task, ".1") {
 							untold[s.To] = append(untold[s.To], start.Attempt)
 						} else {
 							starts = append(starts, start)
 						}
 					}
-					b.Answer.Orders.Starts = starts
+					b.Result.Heartbeat.Starts = starts
 					s.Body = b
-				case wire.BeatBody:
-					b.Beat.Running = append(slices.Clone(b.Beat.Running), untold[n.address]...)
+				case wire.HeartbeatRequest:
+					b.Heartbeat.Running = append(slices.Clone(b.Heartbeat.Running), untold[n.address]...)
 					s.Body = b
 				}
 				return s
@@ -271,9 +271,9 @@
 			})
 		}},
 		{"start-in-emptied-site", "the order to empty a site is turned round", func(c *Centers) {
-			c.w.alter = func(n *node, s machine.Send) machine.Send {
-				if b, ok := s.Body.(wire.CommandBody); ok && b.Command.Kind == ledger.KindSite {
-					b.Command.On = false
+			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindDrainZone {
+					b.Command.Drain = false
 					s.Body = b
 				}
 				return s
@@ -281,9 +281,9 @@
 			c.w.At(9*time.Second, func() { CenterKinds["empty-site"](c) })
 		}},
 		{"start-after-cancel", "a cancel is carried as a question", func(c *Centers) {
-			c.w.alter = func(n *node, s machine.Send) machine.Send {
-				if b, ok := s.Body.(wire.CommandBody); ok && b.Command.Kind == ledger.KindCancel {
-					b.Command.Kind = ledger.KindRead
+			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
+				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindCancelJob {
+					b.Command.Kind = ledger.KindReadJob
 					s.Body = b
 				}
 				return s
@@ -295,7 +295,7 @@
 			})
 		}},
 		{"finished-with-open-task", "what runs shows as done", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Answer) {
+			alterAnswer(c, func(a *ledger.Result) {
 				if a.Job.State == ledger.Running {
 					a.Job.State = ledger.Done
 				}
@@ -303,38 +303,40 @@
 		}},
 		{"plan-went-back", "an older plan is read", func(c *Centers) {
 			c.w.At(9*time.Second, c.change)
-			alterAnswer(c, func(a *ledger.Answer) {
-				if a.Plan != nil {
-					a.Plan = &plan.Plan{Sequence: 1}
+			alterAnswer(c, func(a *ledger.Result) {
+				if a.Config != nil {
+					a.Config = &plan.Config{Version: 1}
 				}
 			})
 		}},
 		{"quick-behind-batch", "the first starts of quick work are lost", func(c *Centers) {
-			alterStarts(c, func(s ledger.Start) (ledger.Start, bool) { return s, s.Class != "lookup" || c.w.Now > 20*time.Second })
+			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) {
+				return s, s.Class != "lookup" || c.w.Now > 20*time.Second
+			})
 		}},
 		{"long-unfinished", "the starts of one job are lost", func(c *Centers) {
-			alterStarts(c, func(s ledger.Start) (ledger.Start, bool) { return s, s.Job != "long-1" })
+			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) { return s, s.Job != "long-1" })
 		}},
 		{"not-served-again", "nothing is started any more", func(c *Centers) {
-			alterStarts(c, func(s ledger.Start) (ledger.Start, bool) { return s, !strings.HasPrefix(s.Job, "probe") })
+			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) { return s, !strings.HasPrefix(s.Job, "probe") })
 		}},
 		{"bounce-without-time", "a full inbox names no time", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Answer) {
+			alterAnswer(c, func(a *ledger.Result) {
 				if a.Code == code.OK && c.w.chance.IntN(5) == 0 {
-					*a = ledger.Answer{Code: code.InboxFull}
+					*a = ledger.Result{Code: code.QueueFull}
 				}
 			})
 		}},
 		{"refused-and-run", "a job that is taken is refused", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Answer) {
+			alterAnswer(c, func(a *ledger.Result) {
 				if a.Code == code.OK && c.w.chance.IntN(5) == 0 {
-					*a = ledger.Answer{Code: code.InboxFull, RetryAfter: time.Second}
+					*a = ledger.Result{Code: code.QueueFull, RetryAfter: time.Second}
 				}
 			})
 		}},
 		{"saved-of-another", "another task's text is handed over", func(c *Centers) {
-			alterStarts(c, func(s ledger.Start) (ledger.Start, bool) {
-				s.Saved = "other/0.0.0:40"
+			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) {
+				s.Checkpoint = "other/0.0.0:40"
 				return s, true
 			})
 		}},
--- a/tool/sim/disk.go
+++ b/tool/sim/disk.go
@@ -29,7 +29,7 @@
 }
 
 // stored is how many records a process's disk holds.
-func (n *node) stored() int { return len(n.disk.Stored().Records) }
+func (n *node) stored() int { return len(n.disk.Load().Records) }
 
 func bytesIn(b machine.Write) (size int) {
 	for _, r := range b.Records {
@@ -69,5 +69,5 @@
 	if !n.diskLies {
 		n.disk.Apply(b)
 	}
-	w.into(n, life, func() { w.step(n, machine.Input{Wrote: b.Done, SnapshotDue: n.disk.SnapshotDue()}, false) })
+	w.into(n, life, func() { w.step(n, machine.Input{CompletedWrite: b.ID, SnapshotDue: n.disk.SnapshotDue()}, false) })
 }
--- a/tool/sim/hardware_test.go
+++ b/tool/sim/hardware_test.go
@@ -17,11 +17,11 @@
 	at    []time.Duration
 }
 
-func (r *recorder) Wakeup() time.Duration { return 0 }
+func (r *recorder) NextTimer() time.Duration { return 0 }
 
 func (r *recorder) Step(now time.Duration, in machine.Input) machine.Output {
-	if in.Line.Kind != "" {
-		r.kinds = append(r.kinds, in.Line.Kind)
+	if in.Message.Kind != "" {
+		r.kinds = append(r.kinds, in.Message.Kind)
 		r.at = append(r.at, now)
 	}
 	return machine.Output{}
@@ -42,7 +42,7 @@
 }
 
 func (w *World) sendText(from *node, kind string, size int) {
-	w.send(from, encoded{machine.Send{To: "b", Kind: kind}, machine.MustJSON(strings.Repeat("x", size))})
+	w.send(from, encoded{machine.OutgoingMessage{To: "b", Kind: kind}, machine.MustJSON(strings.Repeat("x", size))})
 }
 
 func slowReader(each time.Duration) *Hardware {
@@ -69,17 +69,17 @@
 func TestLinesWaitByRankAndOldOnesAreDropped(t *testing.T) {
 	hardware := slowReader(100 * time.Millisecond)
 	hardware.Order = QueueOrder{
-		Rank: func(kind string) int { return map[string]int{wire.Replicate: 0, wire.Beat: 1}[kind] },
+		Rank: func(kind string) int { return map[string]int{wire.KindReplicate: 0, wire.KindHeartbeat: 1}[kind] },
 		StaleAfter: func(kind string) time.Duration {
-			return map[string]time.Duration{wire.Beat: 400 * time.Millisecond}[kind]
+			return map[string]time.Duration{wire.KindHeartbeat: 400 * time.Millisecond}[kind]
 		},
 	}
 	w, _, to, got := pair(hardware)
-	for _, kind := range []string{wire.Beat, wire.Beat, wire.Replicate, wire.Replicate, wire.Beat} {
-		w.deliver(to, machine.Line{Wire: 1, Kind: kind, From: "a"}, nil)
+	for _, kind := range []string{wire.KindHeartbeat, wire.KindHeartbeat, wire.KindReplicate, wire.KindReplicate, wire.KindHeartbeat} {
+		w.deliver(to, machine.Message{Version: 1, Kind: kind, From: "a"}, nil)
 	}
 	w.Run(2 * time.Second)
-	want := []string{wire.Beat, wire.Replicate, wire.Replicate}
+	want := []string{wire.KindHeartbeat, wire.KindReplicate, wire.KindReplicate}
 	if !slices.Equal(got.kinds, want) {
 		t.Errorf("taken are %v, want %v: members' lines first, reports older than 400ms not at all", got.kinds, want)
 	}
@@ -87,12 +87,12 @@
 
 func TestALineTakesThePlaceOfAWaitingOne(t *testing.T) {
 	hardware := slowReader(100 * time.Millisecond)
-	hardware.Order.Replaces = func(line machine.Line) string {
-		return map[string]string{wire.Beat: "worker"}[line.Kind]
+	hardware.Order.Replaces = func(line machine.Message) string {
+		return map[string]string{wire.KindHeartbeat: "worker"}[line.Kind]
 	}
 	w, _, to, got := pair(hardware)
 	for _, from := range []string{"a", "a", "a", "c"} {
-		w.deliver(to, machine.Line{Wire: 1, Kind: wire.Beat, From: from}, nil)
+		w.deliver(to, machine.Message{Version: 1, Kind: wire.KindHeartbeat, From: from}, nil)
 	}
 	w.Run(2 * time.Second)
 	if len(got.kinds) != 3 {
@@ -162,7 +162,7 @@
 	w, _, to, _ := pair(nil)
 	to.disk = emptyDisk()
 	to.diskStalls = true
-	w.write(to, machine.Write{Done: 1, Records: []machine.Record{{Bucket: "b", Key: "k", Value: []byte("1")}}})
+	w.write(to, machine.Write{ID: 1, Records: []machine.Record{{Bucket: "b", Key: "k", Value: []byte("1")}}})
 	w.Run(time.Second)
 	if to.stored() != 0 {
 		t.Error("a stalled disk has written a batch")
@@ -173,7 +173,7 @@
 		t.Error("a disk that goes on has not written its batch")
 	}
 	to.diskFull = true
-	w.write(to, machine.Write{Done: 2})
+	w.write(to, machine.Write{ID: 2})
 	if to.state != down {
 		t.Error("a process whose write failed goes on")
 	}
--- a/tool/sim/heard.go
+++ b/tool/sim/heard.go
@@ -11,12 +11,12 @@
 )
 
 // ledgerOf is the replica of the ledger that runs in a node, nil if none does.
-func ledgerOf(n *node) *keeper.Keeper {
+func ledgerOf(n *node) *keeper.Replica {
 	switch m := n.main.(type) {
-	case *keeper.Keeper:
+	case *keeper.Replica:
 		return m
-	case *center.Center:
-		return m.Keeper()
+	case *center.Control:
+		return m.Replica()
 	}
 	return nil
 }
@@ -43,6 +43,6 @@
 }
 
 // isMember says whether a replica, by its identity, is a member of a view.
-func isMember(view wire.View, k *keeper.Keeper) bool {
-	return k != nil && slices.ContainsFunc(view.Witnesses, func(s wire.Seat) bool { return s.ID == k.ID() })
+func isMember(view wire.View, k *keeper.Replica) bool {
+	return k != nil && slices.ContainsFunc(view.Voters, func(s wire.Member) bool { return s.ID == k.ID() })
 }
--- a/tool/sim/heard_test.go
+++ b/tool/sim/heard_test.go
@@ -15,10 +15,10 @@
 type replicas struct{ leader, backup, third *node }
 
 func replicasOf(s *Scenario) replicas {
-	view := s.primary().main.(*keeper.Keeper).View()
+	view := s.primary().main.(*keeper.Replica).View()
 	var r replicas
 	for _, n := range s.keepers {
-		switch id := n.main.(*keeper.Keeper).ID(); id {
+		switch id := n.main.(*keeper.Replica).ID(); id {
 		case view.Primary.ID:
 			r.leader = n
 		case view.Backups[0].ID:
@@ -68,9 +68,9 @@
 						t.Errorf("heard=%v, want %v", heard, row.heard)
 					}
 					answered := false
-					ask := machine.Ask{Kind: front.Site, Name: s.sites[0], On: true, Token: "heard"}
+					ask := machine.Request{Kind: front.RequestDrainZone, Name: s.sites[0], Enable: true, IdempotencyKey: "heard"}
 					s.w.Call("operator", s.sites[0], s.frontFor(0), ask, asking, func(r front.Reply, ok bool) {
-						answered = ok && r.Status == 200
+						answered = ok && r.StatusCode == 200
 					})
 					s.w.After(asking, func() {
 						if answered != row.heard {
--- a/tool/sim/held.go
+++ b/tool/sim/held.go
@@ -26,7 +26,7 @@
 func (w *World) Hold(from, to string) {
 	if _, ok := w.held[[2]string{from, to}]; !ok {
 		w.say("hold %s to %s", from, to)
-		w.held[[2]string{from, to}] = []machine.Line{}
+		w.held[[2]string{from, to}] = []machine.Message{}
 	}
 }
 
@@ -43,7 +43,7 @@
 }
 
 // holds keeps a line back if its way is held.
-func (w *World) holds(from, to string, line machine.Line) bool {
+func (w *World) holds(from, to string, line machine.Message) bool {
 	pair := [2]string{from, to}
 	lines, ok := w.held[pair]
 	if ok {
--- a/tool/sim/keepers_test.go
+++ b/tool/sim/keepers_test.go
@@ -52,9 +52,9 @@
 // time until that had its seat.
 func empty(s *Scenario, who string, elsewhere bool, after time.Duration, took *time.Duration, bound time.Duration) {
 	s.hurt(9 * time.Second)
-	view := s.primary().main.(*keeper.Keeper).View()
+	view := s.primary().main.(*keeper.Replica).View()
 	i := slices.IndexFunc(s.keepers, func(n *node) bool {
-		id := n.main.(*keeper.Keeper).ID()
+		id := n.main.(*keeper.Replica).ID()
 		return id == view.Primary.ID && who == "primary" || id == view.Backups[0].ID && who == "backup" || id != view.Primary.ID && id != view.Backups[0].ID && who == "third"
 	})
 	n := s.keepers[i]
@@ -71,10 +71,10 @@
 		} else {
 			s.w.Boot(n)
 		}
-		from, id := s.w.Now, n.main.(*keeper.Keeper).ID()
+		from, id := s.w.Now, n.main.(*keeper.Replica).ID()
 		var look func()
 		look = func() {
-			if p := s.primary(); p != nil && slices.ContainsFunc(p.main.(*keeper.Keeper).View().Witnesses, func(w wire.Seat) bool { return w.ID == id }) {
+			if p := s.primary(); p != nil && slices.ContainsFunc(p.main.(*keeper.Replica).View().Voters, func(w wire.Member) bool { return w.ID == id }) {
 				*took = s.w.Now - from
 			} else if s.w.Now-from > 2*bound {
 				*took = 2 * bound
--- a/tool/sim/link.go
+++ b/tool/sim/link.go
@@ -32,7 +32,7 @@
 
 // wireLine is a line on its way.
 type wireLine struct {
-	line machine.Line
+	line machine.Message
 	size int
 }
 
@@ -82,7 +82,7 @@
 }
 
 // queueLine puts a line before a connection.
-func (w *World) queueLine(n, to *node, line machine.Line) {
+func (w *World) queueLine(n, to *node, line machine.Message) {
 	c := w.connect(n, to)
 	if len(c.queue) >= w.hardware.Links.QueueMax {
 		w.Logs["line_dropped"]++
--- a/tool/sim/measure.go
+++ b/tool/sim/measure.go
@@ -69,7 +69,7 @@
 		for _, wave := range []int{0, 160} {
 			days = append(days, Env{Seed: seed + 1, Deployment: d, For: 40 * time.Second, Prepare: func(s *Scenario) {
 				long := d.Traffic[2]
-				long.Steps, long.Cores = []int{1}, 1
+				long.StepWidths, long.Cores = []int{1}, 1
 				for i := range wave {
 					s.w.At(10*time.Second, func() { s.submit(s.job(long, fmt.Sprintf("wave-%d", i))) })
 				}
@@ -100,7 +100,7 @@
 		for _, central := range []bool{false, true} {
 			days = append(days, Env{Seed: seed + 1, Deployment: d, For: 20 * time.Second, Central: central, Quiet: true, Prepare: func(s *Scenario) {
 				two := d.Traffic[1]
-				two.Steps, two.RunMs, two.Cores = []int{4, 4}, 400, 1
+				two.StepWidths, two.RunMs, two.Cores = []int{4, 4}, 400, 1
 				s.w.At(7*time.Second, func() { s.hand(0).set(s.w.Now, worker.Faults{Slow: 4}) })
 				for i := range 60 {
 					s.w.At(8*time.Second, func() {
@@ -229,7 +229,7 @@
 	}
 	held, all := 0, 0
 	for _, r := range n.runs {
-		for _, dep := range specs[r.Job+"/"+r.Task].After {
+		for _, dep := range specs[r.Job+"/"+r.Task].DependsOn {
 			all++
 			if where[r.Job+"/"+dep] == r.Worker {
 				held++
--- a/tool/sim/oracle.go
+++ b/tool/sim/oracle.go
@@ -35,7 +35,7 @@
 	pullBound  = 700 * time.Millisecond
 	// passBound is how far apart starts by different schedulers have no order: a
 	// task is left to its inbox\'s worker for so long.
-	passBound = dispatch.Patience
+	passBound = dispatch.StealDelay
 	newsBound = 3 * time.Second
 	// silenceBound is lease and margin of the plans.
 	silenceBound = 7 * time.Second
@@ -139,7 +139,7 @@
 			spec = t
 		}
 	}
-	allowed := spec.AllowedDefects
+	allowed := spec.MaxFailures
 	if allowed == 0 {
 		allowed = 3
 	}
@@ -150,15 +150,15 @@
 			n.count("twice-at-once")
 		}
 		for _, earlier := range runs[:i] {
-			if spec.Copies && earlier.end(n.end) > r.from && earlier.Attempt != r.Attempt {
+			if spec.AllowsDuplicates && earlier.end(n.end) > r.from && earlier.Attempt != r.Attempt {
 				n.excuse("twice-at-once", "copies do no harm")
 				continue
 			}
 			if earlier.end(n.end) > r.from && earlier.Attempt != r.Attempt || earlier.Attempt == r.Attempt {
-				n.fault("twice-at-once", "%s: try %d on %s from %s to %s, try %d on %s from %s", key, earlier.Try, earlier.Worker, secs(earlier.from), secs(earlier.end(n.end)), r.Try, r.Worker, secs(r.from))
+				n.fault("twice-at-once", "%s: try %d on %s from %s to %s, try %d on %s from %s", key, earlier.Number, earlier.Worker, secs(earlier.from), secs(earlier.end(n.end)), r.Number, r.Worker, secs(r.from))
 			}
 		}
-		if !spec.Lasting {
+		if !spec.LongRunning {
 			n.again(key, runs[:i], r, c)
 		}
 		if r.Outcome == "good" {
@@ -170,13 +170,13 @@
 		if defects > 0 {
 			n.count("defects-spent")
 		}
-		if defects >= allowed && !spec.Lasting {
-			n.fault("defects-spent", "%s: try %d starts at %s after %d defects of %d", key, r.Try, secs(r.from), defects, allowed)
+		if defects >= allowed && !spec.LongRunning {
+			n.fault("defects-spent", "%s: try %d starts at %s after %d defects of %d", key, r.Number, secs(r.from), defects, allowed)
 		}
 		if r.Outcome == "bad" {
 			defects++
 		}
-		for _, dep := range spec.After {
+		for _, dep := range spec.DependsOn {
 			n.count("before-dependency")
 			done := false
 			for _, d := range byTask[c.spec.ID+"/"+dep] {
@@ -237,7 +237,7 @@
 		case unheard && (!told || at > r.from) && saidGone:
 			n.excuse("again-after-good", "said to be gone by an operator")
 		default:
-			n.fault("again-after-good", "%s: try %d on %s at %s, try %d had ended well on %s at %s", key, r.Try, r.Worker, secs(r.from), e.Try, e.Worker, secs(e.to))
+			n.fault("again-after-good", "%s: try %d on %s at %s, try %d had ended well on %s at %s", key, r.Number, r.Worker, secs(r.from), e.Number, e.Worker, secs(e.to))
 		}
 	}
 }
@@ -307,7 +307,7 @@
 			}
 			failedHere := slices.ContainsFunc(w.runs, func(e run) bool { return e.Worker == r.Worker && e.Outcome != "good" })
 			switch {
-			case busy+w.task.Room.Slots > n.share[w.c.spec.Class]:
+			case busy+w.task.Resources.Slots > n.share[w.c.spec.Class]:
 				n.excuse("quick-overtaken", "quick work fills its class's share")
 			case n.someSilent(min(w.from-quickBound, w.c.sentAt-passBound), r.from):
 				n.excuse("quick-overtaken", "may have been granted to a worker that went silent")
@@ -330,7 +330,7 @@
 			return false
 		}
 	}
-	return r.Room.Holds(task.Room)
+	return r.Room.Covers(task.Resources)
 }
 
 // someSilent says whether a worker fell silent in a span, or was heard again
@@ -401,8 +401,8 @@
 			continue
 		}
 		for _, e := range byTask[c.spec.ID+"/"+other.ID] {
-			if at, told := n.hands[e.Worker].acked[e.Attempt]; e.Outcome == "bad" && told && at <= r.from && e.Try < r.Try {
-				tries[e.Try] = true
+			if at, told := n.hands[e.Worker].acked[e.Attempt]; e.Outcome == "bad" && told && at <= r.from && e.Number < r.Number {
+				tries[e.Number] = true
 			}
 		}
 	}
@@ -426,18 +426,18 @@
 			continue
 		}
 		for _, t := range c.spec.Tasks {
-			if t.ID != r.Task || t.PerWorker == 0 {
+			if t.ID != r.Task || t.MaxPerWorker == 0 {
 				continue
 			}
 			n.count("crowded-worker")
-			at, beside := place{r.Worker, r.Job, t.Time, t.Step}, 1
+			at, beside := place{r.Worker, r.Job, t.Repetition, t.Step}, 1
 			for _, e := range byPlace[at] {
 				if e.end(n.end) > r.from {
 					beside++
 				}
 			}
-			if byPlace[at] = append(byPlace[at], r); beside > t.PerWorker {
-				n.fault("crowded-worker", "%s is the number %d of its step on %s at %s, %d may be", r.Attempt, beside, r.Worker, secs(r.from), t.PerWorker)
+			if byPlace[at] = append(byPlace[at], r); beside > t.MaxPerWorker {
+				n.fault("crowded-worker", "%s is the number %d of its step on %s at %s, %d may be", r.Attempt, beside, r.Worker, secs(r.from), t.MaxPerWorker)
 			}
 		}
 	}
@@ -446,7 +446,7 @@
 func (n *notes) workerRuns(h *hand, runs []run) {
 	type edge struct {
 		at   time.Duration
-		room ledger.Room
+		room ledger.Resources
 		sign int
 	}
 	var edges []edge
@@ -456,15 +456,15 @@
 	sort.SliceStable(edges, func(i, j int) bool {
 		return edges[i].at < edges[j].at || edges[i].at == edges[j].at && edges[i].sign < edges[j].sign
 	})
-	var used ledger.Room
+	var used ledger.Resources
 	for _, e := range edges {
 		if e.sign > 0 {
 			n.count("over-room")
 			used = used.Add(e.room)
 		} else {
-			used = used.Less(e.room)
+			used = used.Sub(e.room)
 		}
-		if !h.env.Total.Holds(used) && h.w.Faults().LieSlots == 0 {
+		if !h.env.Total.Covers(used) && h.w.Faults().LieSlots == 0 {
 			n.fault("over-room", "%s has %+v, at %s it runs %+v", h.name(), h.env.Total, secs(e.at), used)
 			return
 		}
--- a/tool/sim/oracle_test.go
+++ b/tool/sim/oracle_test.go
@@ -15,14 +15,14 @@
 // history is two workers, one of them with a label, and one two-step job.
 func history() *notes {
 	job := &caller{spec: ledger.JobSpec{ID: "j", Service: "tickets", Class: "check", Tasks: []ledger.TaskSpec{
-		{ID: "a", Room: ledger.Room{Slots: 1}}, {ID: "b", After: []string{"a"}, Room: ledger.Room{Slots: 1}},
+		{ID: "a", Resources: ledger.Resources{Slots: 1}}, {ID: "b", DependsOn: []string{"a"}, Resources: ledger.Resources{Slots: 1}},
 	}}, sentAt: second, acceptedAt: second, state: ledger.Done, overAt: 20 * second, dependable: true}
 	made := newNotes()
 	n := &made
 	n.callers, n.end = []*caller{job}, 60*second
 	n.share["lookup"] = 26
 	for _, id := range []string{"w1", "w2"} {
-		e := worker.Env{ID: id, Site: "a", Service: "tickets", Total: ledger.Room{Slots: 1}}
+		e := worker.Env{ID: id, Site: "a", Service: "tickets", Total: ledger.Resources{Slots: 1}}
 		n.hands[id] = &hand{env: e, w: worker.New(e), acked: map[ledger.Attempt]time.Duration{}}
 	}
 	n.add("a", 1, "w1", 2*second, 4*second, "good")
@@ -31,8 +31,8 @@
 }
 
 func (n *notes) add(task string, try int, on string, from, to time.Duration, outcome string) *run {
-	a := ledger.Attempt{Job: "j", Task: task, Try: try}
-	n.runs = append(n.runs, run{Run: worker.Run{Attempt: a, Worker: on, Room: ledger.Room{Slots: 1}, Outcome: outcome}, from: from, to: to})
+	a := ledger.Attempt{Job: "j", Task: task, Number: try}
+	n.runs = append(n.runs, run{Run: worker.Run{Attempt: a, Worker: on, Room: ledger.Resources{Slots: 1}, Outcome: outcome}, from: from, to: to})
 	if outcome == "good" {
 		n.hands[on].acked[a] = to + 10*time.Millisecond
 	}
@@ -47,9 +47,9 @@
 
 // quickWaits adds a lookup that waits from 3 s to 6 s, while b starts at 5 s.
 func (n *notes) quickWaits() {
-	n.callers = append(n.callers, &caller{spec: ledger.JobSpec{ID: "q", Service: "tickets", Class: "lookup", Tasks: []ledger.TaskSpec{{ID: "t", Room: ledger.Room{Slots: 1}}}},
+	n.callers = append(n.callers, &caller{spec: ledger.JobSpec{ID: "q", Service: "tickets", Class: "lookup", Tasks: []ledger.TaskSpec{{ID: "t", Resources: ledger.Resources{Slots: 1}}}},
 		sentAt: 3 * second, acceptedAt: 4200 * time.Millisecond, state: ledger.Done, overAt: 20 * second})
-	n.runs = append(n.runs, run{Run: worker.Run{Attempt: ledger.Attempt{Job: "q", Task: "t", Try: 1}, Worker: "w2", Class: "lookup", Service: "tickets", Room: ledger.Room{Slots: 1}, Outcome: "good"}, from: 6 * second, to: 7 * second})
+	n.runs = append(n.runs, run{Run: worker.Run{Attempt: ledger.Attempt{Job: "q", Task: "t", Number: 1}, Worker: "w2", Class: "lookup", Service: "tickets", Room: ledger.Resources{Slots: 1}, Outcome: "good"}, from: 6 * second, to: 7 * second})
 	for i := range n.runs[:2] {
 		n.runs[i].Class, n.runs[i].Service = "check", "tickets"
 	}
@@ -59,7 +59,7 @@
 // and was allowed to twice.
 func (n *notes) inSteps(told bool) {
 	n.steps = true
-	n.callers[0].spec.Tasks[0].AllowedDefects = 2
+	n.callers[0].spec.Tasks[0].MaxFailures = 2
 	for i := range 2 {
 		r := n.add("a", i-1, "w2", second+time.Duration(i)*200*time.Millisecond, second+time.Duration(i)*200*time.Millisecond+100*time.Millisecond, "bad")
 		if told || i == 0 {
@@ -97,7 +97,7 @@
 		{"wrong-worker", func(n *notes) { n.callers[0].spec.Service = "podcasts" }},
 		{"over-room", func(n *notes) { n.runs[1].Room.Slots = 2 }},
 		{"defects-spent", func(n *notes) {
-			n.callers[0].spec.Tasks[0].AllowedDefects = 1
+			n.callers[0].spec.Tasks[0].MaxFailures = 1
 			n.add("a", 0, "w2", second, 1500*time.Millisecond, "bad")
 		}},
 		{"defects-spent", func(n *notes) { n.inSteps(true) }},
@@ -114,7 +114,7 @@
 			n.faulty = [][2]time.Duration{{3 * second, 6 * second}}
 		}},
 		{"crowded-worker", func(n *notes) {
-			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Placing: ledger.Placing{PerWorker: 1}}, {ID: "b", Placing: ledger.Placing{PerWorker: 1}}}
+			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Placement: ledger.Placement{MaxPerWorker: 1}}, {ID: "b", Placement: ledger.Placement{MaxPerWorker: 1}}}
 			n.hands["w1"].env.Total.Slots = 2
 			n.runs[1].from = 3 * second
 		}},
@@ -132,7 +132,7 @@
 		}},
 		{"", func(n *notes) {
 			n.add("b", 2, "w2", 6*second, 7*second, "stopped")
-			n.callers[0].spec.Tasks[1].Copies = true
+			n.callers[0].spec.Tasks[1].AllowsDuplicates = true
 		}},
 		{"gang-alone", func(n *notes) {
 			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
--- a/tool/sim/processor.go
+++ b/tool/sim/processor.go
@@ -53,7 +53,7 @@
 	ReadsAhead bool
 	// Replaces gives the key under which a line takes the place of a waiting one of the
 	// same kind and sender; an empty one never does.
-	Replaces func(line machine.Line) string
+	Replaces func(line machine.Message) string
 }
 
 // work is one thing that a process has to do.
@@ -263,17 +263,17 @@
 func (p *processor) charge(in machine.Input, commands int, out machine.Output) {
 	c, before := p.hardware.Costs, p.used
 	p.used.Steps += c.Step
-	if in.Line.Kind != "" {
+	if in.Message.Kind != "" {
 		p.used.Lines++
-		p.used.Bytes += len(in.Line.Body)
-		p.used.Reading += c.ReadLine + perThousand(c.ReadKilobyte, len(in.Line.Body))
+		p.used.Bytes += len(in.Message.Body)
+		p.used.Reading += c.ReadLine + perThousand(c.ReadKilobyte, len(in.Message.Body))
 	}
-	switch in.Line.Kind {
-	case wire.Beat:
+	switch in.Message.Kind {
+	case wire.KindHeartbeat:
 		p.used.Ledger += c.Report
-	case wire.Snapshot:
+	case wire.KindSnapshotChunk:
 		commands = 0
-		p.used.Loading += recordsOf(len(in.Line.Body)) * c.LoadRecord
+		p.used.Loading += recordsOf(len(in.Message.Body)) * c.LoadRecord
 	}
 	p.used.Commands += commands
 	p.used.Ledger += time.Duration(commands) * c.Command
@@ -281,7 +281,7 @@
 		p.used.Records += len(b.Records)
 		p.used.Storage += c.Batch + time.Duration(len(b.Records))*c.WriteRecord
 	}
-	if in.Ask.Key > 0 {
+	if in.Request.ID > 0 {
 		p.used.Requests += c.Request
 	}
 	p.cost += p.used.Total() - before.Total()
@@ -294,10 +294,10 @@
 func recordsOf(size int) time.Duration { return time.Duration(size / recordBytes) }
 
 // encode pays for a line that is sent. It is paid in the step that sends it.
-func (p *processor) encode(s machine.Send, size int) {
+func (p *processor) encode(s machine.OutgoingMessage, size int) {
 	c := p.hardware.Costs
 	cost := c.SendLine + perThousand(c.SendKilobyte, size)
-	if s.Kind == wire.Snapshot {
+	if s.Kind == wire.KindSnapshotChunk {
 		cost += recordsOf(size) * c.GatherRecord
 	}
 	p.used.Sent++
@@ -315,7 +315,7 @@
 // position is how many commands the ledger of a process has taken.
 func (n *node) position() uint64 {
 	if k := n.keeper(); k != nil {
-		return k.Ledger().Position().Sequence
+		return k.Store().Position().Index
 	}
 	return 0
 }
--- a/tool/sim/scenario.go
+++ b/tool/sim/scenario.go
@@ -90,16 +90,16 @@
 
 // Play runs one scenario to its end.
 func Play(e Env) Result {
-	s := &Scenario{env: e, w: NewWorld(e.Seed), sites: e.Deployment.Sites}
+	s := &Scenario{env: e, w: NewWorld(e.Seed), sites: e.Deployment.Zones}
 	s.w.Verbose, s.w.central = e.Verbose, e.Central
 	s.notes = newNotes()
 	s.end = e.For + settle
-	p, faults := plan.Parse(e.Deployment.Plan)
+	p, faults := plan.Parse(e.Deployment.Config)
 	if len(faults) > 0 {
 		panic(faults)
 	}
 	for name, class := range p.Services[e.Deployment.Service].Classes {
-		s.restart[name], s.share[name] = class.Silence == plan.Restart, class.Share*deploy.Workers*deploy.Slots/100
+		s.restart[name], s.share[name] = class.LostWorkerPolicy == plan.RestartOnLostWorker, class.Share*deploy.Workers*deploy.SlotsPerWorker/100
 	}
 	s.build()
 	if e.Prepare != nil {
@@ -107,9 +107,9 @@
 	}
 	s.w.onPlan = s.sawPlan
 	s.w.At(4*time.Second, func() {
-		s.operate(machine.Ask{Kind: front.PlanPut, Body: e.Deployment.Plan}, func(heardAt time.Duration, r front.Reply) {
-			if out, ok := r.Body.(front.Outcome); ok && r.Status == 200 {
-				s.planned(heardAt, out.Sequence)
+		s.operate(machine.Request{Kind: front.RequestConfigPut, Body: e.Deployment.Config}, func(heardAt time.Duration, r front.Reply) {
+			if out, ok := r.Body.(front.Outcome); ok && r.StatusCode == 200 {
+				s.planned(heardAt, out.Version)
 			} else {
 				s.fault("plan-ignored", "the first plan is bounced: %+v", r.Body)
 			}
@@ -137,14 +137,14 @@
 func (s *Scenario) build() {
 	address := func(i int) string { return fmt.Sprintf("10.%d.0.%d:7000", i%3, i) }
 	var founders []string
-	for i := range deploy.Keepers {
+	for i := range deploy.Replicas {
 		founders = append(founders, address(i))
 	}
 	i := 0
 	for _, role := range []struct {
 		name  string
 		count int
-	}{{"keeper", deploy.Keepers}, {"scheduler", deploy.Scheds}, {"front", deploy.Fronts}} {
+	}{{"keeper", deploy.Replicas}, {"scheduler", deploy.Schedulers}, {"front", deploy.Gateways}} {
 		for j := range role.count {
 			var found []string
 			if role.name == "keeper" {
@@ -167,8 +167,8 @@
 	}
 	for j := range deploy.Workers {
 		h := &hand{acked: map[ledger.Attempt]time.Duration{}, env: worker.Env{
-			ID: fmt.Sprintf("worker-%02d", j+1), Site: s.sites[j%len(s.sites)], Rack: fmt.Sprintf("r%d", j/deploy.PerRack), Service: s.env.Deployment.Service,
-			Total: ledger.Room{Slots: deploy.Slots, Cores: s.env.Deployment.Cores},
+			ID: fmt.Sprintf("worker-%02d", j+1), Site: s.sites[j%len(s.sites)], Rack: fmt.Sprintf("r%d", j/deploy.WorkersPerRack), Service: s.env.Deployment.Service,
+			Total: ledger.Resources{Slots: deploy.SlotsPerWorker, Cores: s.env.Deployment.CoresPerWorker},
 		}}
 		if j%4 == 0 {
 			h.env.Labels = []string{labels[0]}
@@ -186,7 +186,7 @@
 }
 
 func (s *Scenario) job(t deploy.Traffic, id string) *caller {
-	c := &caller{spec: t.Job(s.env.Deployment.Service, id), turn: s.w.chance.IntN(64)}
+	c := &caller{spec: t.NewJob(s.env.Deployment.Service, id), turn: s.w.chance.IntN(64)}
 	s.callers = append(s.callers, c)
 	return c
 }
@@ -205,7 +205,7 @@
 			if i%10 == 3 {
 				c.spec.Tasks[0].Labels = []string{s.hand(0).env.Labels[0]}
 			}
-			if len(t.Steps) == 1 && t.Steps[0] > 1 && i%3 == 0 {
+			if len(t.StepWidths) == 1 && t.StepWidths[0] > 1 && i%3 == 0 {
 				for j := range c.spec.Tasks {
 					c.spec.Tasks[j].Gang = "all"
 				}
@@ -333,13 +333,13 @@
 			continue
 		}
 		for _, next := range s.runs {
-			if next.Job == r.Job && next.Task == r.Task && next.Try == r.Try+1 {
+			if next.Job == r.Job && next.Task == r.Task && next.Number == r.Number+1 {
 				res.LostMs[r.Class] = append(res.LostMs[r.Class], float64((next.from-r.to)/time.Millisecond))
 			}
 		}
 	}
 	for _, k := range s.keepers {
-		if m, ok := k.main.(*keeper.Keeper); ok {
+		if m, ok := k.main.(*keeper.Replica); ok {
 			res.Views = max(res.Views, m.View().Epoch)
 		}
 	}
@@ -363,7 +363,7 @@
 	"large": func(s *Scenario) {
 		for i := range 6 {
 			t := s.env.Deployment.Traffic[2]
-			t.Steps = []int{8, 2}
+			t.StepWidths = []int{8, 2}
 			t.RunMs = 3000
 			s.submit(s.job(t, fmt.Sprintf("large%d-%d", s.w.Now/time.Millisecond, i)))
 		}
@@ -586,11 +586,11 @@
 			c.impossible = true
 			switch i % 3 {
 			case 0:
-				c.spec.Tasks[0].Room.Slots = 99
+				c.spec.Tasks[0].Resources.Slots = 99
 			case 1:
 				c.spec.Tasks[0].Labels = []string{"moonstone"}
 			default:
-				service, _ := plan.Parse(s.env.Deployment.Plan)
+				service, _ := plan.Parse(s.env.Deployment.Config)
 				c.spec.Tasks[0].Labels = []string{service.Services[s.env.Deployment.Service].Labels[1]}
 			}
 			s.submit(c)
