--- a/tool/sim/sim.go
+++ b/tool/sim/sim.go
@@ -44,10 +44,10 @@
 	return last
 }
 
-type state int
+type runState int
 
 const (
-	up state = iota
+	up runState = iota
 	frozen
 	down
 )
@@ -56,12 +56,12 @@
 	name, role, site, address string
 	seeds                     []string
 	founders                  []string
-	state                     state
+	state                     runState
 	life                      uint64
 	boot                      time.Duration
 	main                      machine.Machine
-	member                    *member.Member
-	disk                      machine.Disk
+	member                    *member.Gossiper
+	disk                      machine.MemoryDisk
 	diskSlow                  float64
 	diskLies                  bool
 	lands                     bool
@@ -115,10 +115,10 @@
 	Verbose  func(text string)
 	Logs     map[string]int
 	central  bool
-	meddle   func(n *node, s machine.Send) bool
-	alter    func(n *node, s machine.Send) machine.Send
+	meddle   func(n *node, s machine.OutgoingMessage) bool
+	alter    func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage
 	onPlan   func(n *node, sequence uint64)
-	held     map[[2]string][]machine.Line
+	held     map[[2]string][]machine.Message
 	// hardware bounds what the processes can do; without, work costs nothing.
 	hardware *Hardware
 	// copies is how many backups a center's view shall have.
@@ -127,7 +127,7 @@
 
 func NewWorld(seed uint64) *World {
 	return &World{Seed: seed, chance: rand.New(rand.NewPCG(seed, 77)), nodes: map[string]*node{}, cuts: map[[2]string]bool{},
-		last: map[[2]string]time.Duration{}, Logs: map[string]int{}, held: map[[2]string][]machine.Line{}}
+		last: map[[2]string]time.Duration{}, Logs: map[string]int{}, held: map[[2]string][]machine.Message{}}
 }
 
 // At puts something on the agenda.
@@ -185,40 +185,40 @@
 	first := w.chance.Uint64() >> 1
 	switch n.role {
 	case "keeper":
-		k, err := keeper.New(keeper.Env{
-			Address: n.address, Site: n.site, Founders: n.founders,
-			FreshID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), Boot: first,
-		}, n.disk.Stored())
+		k, err := keeper.New(keeper.Config{
+			Address: n.address, Zone: n.site, Founders: n.founders,
+			NewID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), BootID: first,
+		}, n.disk.Load())
 		if err != nil {
 			panic(fmt.Sprintf("%s refuses its own disk: %v", n.name, err))
 		}
 		n.main, id = k, k.ID()
 	case "scheduler":
-		n.main = scheduler.New(scheduler.Env{Address: n.address, Site: n.site, First: first, Central: w.central})
+		n.main = scheduler.New(scheduler.Config{Address: n.address, Zone: n.site, FirstCommandID: first, SingleQueue: w.central})
 	case "front":
-		n.main = front.New(front.Env{Address: n.address, Site: n.site, First: first})
+		n.main = front.New(front.Config{Address: n.address, Zone: n.site, FirstCommandID: first})
 	case "center":
-		c, err := center.New(center.Env{
-			Address: n.address, Site: n.site, Founders: n.founders,
-			FreshID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), Boot: first, Copies: w.copies,
-		}, n.disk.Stored())
+		c, err := center.New(center.Config{
+			Address: n.address, Zone: n.site, Founders: n.founders,
+			NewID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), BootID: first, BackupCount: w.copies,
+		}, n.disk.Load())
 		if err != nil {
 			panic(fmt.Sprintf("%s refuses its own disk: %v", n.name, err))
 		}
 		n.main, id = c, c.ID()
 	case "proxy":
 		id = fmt.Sprintf("%s-%d-%x", n.name, n.life, first)
-		n.main = center.NewProxy(wire.Seat{ID: id, Address: n.address, Site: n.site}, n.seeds)
+		n.main = center.NewProxy(wire.Member{ID: id, Address: n.address, Zone: n.site}, n.seeds)
 	case "door":
-		n.main = relay.New(relay.Env{Address: n.address, Keepers: n.seeds, First: first})
+		n.main = relay.New(relay.Config{Address: n.address, Replicas: n.seeds, FirstCommandID: first})
 	case "side":
-		n.main = agent.New(agent.Env{Address: n.address, Site: n.site, Keepers: n.seeds, First: first})
+		n.main = agent.New(agent.Config{Address: n.address, Zone: n.site, Replicas: n.seeds, FirstReportID: first})
 	}
 	n.member = nil
 	w.say("boot %s %s", n.name, id)
 	if role := memberRole[n.role]; role != "" {
-		n.member = member.New(member.Env{
-			Self:  wire.Node{ID: id, Role: role, Site: n.site, Address: n.address, Incarnation: int64((w.Now + w.wallSkew + n.wallSkew + 1000*time.Hour) / time.Millisecond)},
+		n.member = member.New(member.Config{
+			Self:  wire.Node{ID: id, Role: role, Zone: n.site, Address: n.address, Incarnation: int64((w.Now + w.wallSkew + n.wallSkew + 1000*time.Hour) / time.Millisecond)},
 			Seeds: n.seeds, Seed: first,
 		})
 	}
@@ -264,14 +264,14 @@
 		m = n.member
 	}
 	if n.role == "center" {
-		in.Wall = w.wall().Add(n.wallSkew)
+		in.WallTime = w.wall().Add(n.wallSkew)
 	}
 	before := n.position()
 	out := m.Step(n.local(w.Now), in)
 	if p := n.processor; p != nil {
 		p.charge(in, int(max(n.position(), before)-before), out)
-		lines := make([]encoded, 0, len(out.Sends))
-		for _, s := range out.Sends {
+		lines := make([]encoded, 0, len(out.Messages))
+		for _, s := range out.Messages {
 			lines = append(lines, w.encode(n, s))
 		}
 		p.outputs = append(p.outputs, func() { w.emit(n, out, lines, toMember) })
@@ -289,14 +289,14 @@
 
 // emit does what a step returned. Lines are encoded already where that was paid for.
 func (w *World) emit(n *node, out machine.Output, lines []encoded, toMember bool) {
-	for _, e := range out.Events {
+	for _, e := range out.LogEvents {
 		w.Logs[e.Name]++
 		w.say("%s %s %v", n.name, e.Name, e.Fields)
 	}
-	for _, a := range out.Audits {
-		w.say("%s decided %s", n.name, a.Entry)
+	for _, a := range out.AuditEntries {
+		w.say("%s decided %s", n.name, a.Data)
 	}
-	for i, s := range out.Sends {
+	for i, s := range out.Messages {
 		one := encoded{send: s}
 		if lines != nil {
 			one = lines[i]
@@ -310,9 +310,9 @@
 	for _, b := range out.Writes {
 		w.write(n, b)
 	}
-	for _, a := range out.Answers {
-		if back, ok := n.answers[a.Key]; ok {
-			delete(n.answers, a.Key)
+	for _, a := range out.Responses {
+		if back, ok := n.answers[a.RequestID]; ok {
+			delete(n.answers, a.RequestID)
 			back(a.Body)
 		}
 	}
@@ -323,9 +323,9 @@
 
 // wake keeps one event on the agenda for the earlier wakeup of both machines.
 func (w *World) wake(n *node) {
-	at := n.main.Wakeup()
+	at := n.main.NextTimer()
 	if n.member != nil {
-		if other := n.member.Wakeup(); at == 0 || other > 0 && other < at {
+		if other := n.member.NextTimer(); at == 0 || other > 0 && other < at {
 			at = other
 		}
 	}
@@ -344,7 +344,7 @@
 			return
 		}
 		do := func() {
-			if n.member != nil && n.member.Wakeup() <= n.local(w.Now) {
+			if n.member != nil && n.member.NextTimer() <= n.local(w.Now) {
 				w.step(n, machine.Input{}, true)
 			}
 			w.step(n, machine.Input{}, false)
@@ -405,12 +405,12 @@
 
 // encoded is a line to send, with its body once it has been encoded.
 type encoded struct {
-	send machine.Send
+	send machine.OutgoingMessage
 	body []byte
 }
 
 // encode writes a line's body, and has the processor pay for it.
-func (w *World) encode(n *node, s machine.Send) encoded {
+func (w *World) encode(n *node, s machine.OutgoingMessage) encoded {
 	if w.alter != nil {
 		s = w.alter(n, s)
 	}
@@ -430,10 +430,10 @@
 		}
 		body = machine.MustMarshal(s.Body)
 	}
-	line := machine.Line{Wire: machine.WireSequence, Kind: s.Kind, From: n.address, Body: body}
+	line := machine.Message{Version: machine.ProtocolVersion, Kind: s.Kind, From: n.address, Body: body}
 	life := n.life
 	if s.To == "" || s.To == n.address {
-		w.After(0, func() { w.into(n, life, func() { w.step(n, machine.Input{Line: line}, false) }) })
+		w.After(0, func() { w.into(n, life, func() { w.step(n, machine.Input{Message: line}, false) }) })
 		return
 	}
 	w.Lines++
@@ -462,18 +462,18 @@
 // snapshotEach is small, so that short days have snapshots.
 const snapshotEach = 64 << 10
 
-func emptyDisk() machine.Disk { return machine.Disk{SnapshotEach: snapshotEach} }
+func emptyDisk() machine.MemoryDisk { return machine.MemoryDisk{SnapshotThreshold: snapshotEach} }
 
 // deliver hands a line to a process; taken is told when it is done with it.
-func (w *World) deliver(to *node, line machine.Line, taken func()) {
+func (w *World) deliver(to *node, line machine.Message, taken func()) {
 	key := ""
 	if w.hardware != nil && w.hardware.Order.Replaces != nil {
 		key = w.hardware.Order.Replaces(line)
 	}
 	w.intoAs(to, to.life, work{kind: line.Kind, from: line.From, key: key, taken: taken, do: func() {
-		toMember := line.Kind == wire.Shuffle || line.Kind == wire.ShuffleBack
+		toMember := line.Kind == wire.KindShuffle || line.Kind == wire.KindShuffleReply
 		if !toMember || to.member != nil {
-			w.step(to, machine.Input{Line: line}, toMember)
+			w.step(to, machine.Input{Message: line}, toMember)
 		}
 	}})
 }
@@ -551,11 +551,11 @@
 }
 
 // Call is an HTTP request from outside to a front.
-func (w *World) Call(client, site, address string, ask machine.Ask, timeout time.Duration, back func(front.Reply, bool)) {
+func (w *World) Call(client, site, address string, ask machine.Request, timeout time.Duration, back func(front.Reply, bool)) {
 	w.Ask(client, site, address, ask, timeout, func(v any) {
 		reply := v.(front.Reply)
 		body := machine.MustJSON(reply.Body)
-		w.trace(client, address, ask.Kind, reply.Status, len(body))
+		w.trace(client, address, ask.Kind, reply.StatusCode, len(body))
 	}, func(v any, ok bool) {
 		reply, _ := v.(front.Reply)
 		back(reply, ok)
@@ -564,7 +564,7 @@
 
 // Ask is a request from outside. The name stands for the client in cuts; note is
 // told of an answer as it is given, and back gets false when nothing came in time.
-func (w *World) Ask(client, site, address string, ask machine.Ask, timeout time.Duration, note func(any), back func(any, bool)) {
+func (w *World) Ask(client, site, address string, ask machine.Request, timeout time.Duration, note func(any), back func(any, bool)) {
 	n, ok := w.nodes[address]
 	done := false
 	finish := func(v any, good bool) {
@@ -579,14 +579,14 @@
 		return
 	}
 	w.nextAsk++
-	ask.Key = w.nextAsk
+	ask.ID = w.nextAsk
 	life := n.life
 	w.After(w.latency(site, n.site), func() {
 		if w.isCut(client, address) || n.life != life || n.state == down {
 			return
 		}
 		w.into(n, life, func() {
-			n.answers[ask.Key] = func(v any) {
+			n.answers[ask.ID] = func(v any) {
 				note(v)
 				w.After(w.latency(site, n.site), func() {
 					if !w.isCut(address, client) {
@@ -594,7 +594,7 @@
 					}
 				})
 			}
-			w.step(n, machine.Input{Ask: ask}, false)
+			w.step(n, machine.Input{Request: ask}, false)
 		})
 	})
 }
--- a/tool/sim/sim_test.go
+++ b/tool/sim/sim_test.go
@@ -178,26 +178,26 @@
 	oneDisk := func(s *Scenario) {
 		armed(s)
 		s.w.At(13500*time.Millisecond, func() {
-			s.w.meddle = func(n *node, send machine.Send) bool {
-				b, ok := send.Body.(wire.ReplicateBody)
+			s.w.meddle = func(n *node, send machine.OutgoingMessage) bool {
+				b, ok := send.Body.(wire.ReplicateRequest)
 				if !ok || s.lastAt > 0 {
 					return false
 				}
-				ack := wire.ReplicateAckBody{Boot: b.Boot, Epoch: b.View.Epoch, Token: b.Token, At: b.After, Good: true, Known: b.View}
+				ack := wire.ReplicateAck{BootID: b.BootID, Epoch: b.View.Epoch, SendID: b.SendID, Position: b.Previous, OK: true, KnownView: b.View}
 				if len(b.Commands) > 0 {
 					last, err := ledger.Decode(b.Commands[len(b.Commands)-1])
 					if err != nil {
 						t.Fatal(err)
 					}
-					ack.At = last.Position
+					ack.Position = last.LogPosition
 				}
-				for _, seat := range b.View.Witnesses {
+				for _, seat := range b.View.Voters {
 					if seat.Address == send.To {
 						ack.From = seat
 					}
 				}
-				line := machine.Line{Wire: 1, Kind: wire.ReplicateAck, From: send.To, Body: machine.MustMarshal(ack)}
-				s.w.After(time.Millisecond, func() { s.w.into(n, n.life, func() { s.w.step(n, machine.Input{Line: line}, false) }) })
+				line := machine.Message{Version: 1, Kind: wire.KindReplicateAck, From: send.To, Body: machine.MustMarshal(ack)}
+				s.w.After(time.Millisecond, func() { s.w.into(n, n.life, func() { s.w.step(n, machine.Input{Message: line}, false) }) })
 				return true
 			}
 		})
@@ -228,8 +228,8 @@
 	}
 	deafScheduler := func(s *Scenario) {
 		s.w.At(11*time.Second, func() {
-			s.w.meddle = func(n *node, send machine.Send) bool {
-				return send.To == s.daemons[8].address && send.Kind == wire.News
+			s.w.meddle = func(n *node, send machine.OutgoingMessage) bool {
+				return send.To == s.daemons[8].address && send.Kind == wire.KindFeedUpdate
 			}
 		})
 		s.w.At(13*time.Second, func() { s.change(1, `{"limits":{"keep":"20m"}}`) })
@@ -280,16 +280,16 @@
 		answers := map[string]int{}
 		e.Prepare = func(s *Scenario) {
 			s.w.Verbose = nil
-			call := func(at time.Duration, front int, who string, ask machine.Ask) {
+			call := func(at time.Duration, front int, who string, ask machine.Request) {
 				s.w.At(at, func() {
 					s.w.Call("operator", "a", s.fronts[front], ask, 3*time.Second, func(r frontd.Reply, ok bool) {
 						out, _ := r.Body.(frontd.Outcome)
-						answers[fmt.Sprintf("%s %d %s", who, r.Status, out.Name)]++
+						answers[fmt.Sprintf("%s %d %s", who, r.StatusCode, out.Name)]++
 					})
 				})
 			}
-			empty := machine.Ask{Kind: frontd.Site, Name: "b", On: true, Token: "A1"}
-			force := machine.Ask{Kind: frontd.PlanPatch, Forced: true, Body: []byte(`{"limits":{"keep":"11m"}}`), Token: "A2"}
+			empty := machine.Request{Kind: frontd.RequestDrainZone, Name: "b", Enable: true, IdempotencyKey: "A1"}
+			force := machine.Request{Kind: frontd.RequestConfigPatch, Force: true, Body: []byte(`{"limits":{"keep":"11m"}}`), IdempotencyKey: "A2"}
 			call(10*time.Second, 0, "A", empty)
 			call(10*time.Second, 0, "A", force)
 			if how == "the frozen front wakes" {
@@ -303,15 +303,15 @@
 				call(17*time.Second, 2, "A again", empty)
 				call(17*time.Second, 2, "A again", force)
 			}
-			call(12*time.Second, 3, "B", machine.Ask{Kind: frontd.Site, Name: "b", Token: "B1"})
-			call(12*time.Second, 3, "B", machine.Ask{Kind: frontd.PlanPatch, Forced: true, Body: []byte(`{"limits":{"keep":"12m"}}`), Token: "B2"})
+			call(12*time.Second, 3, "B", machine.Request{Kind: frontd.RequestDrainZone, Name: "b", IdempotencyKey: "B1"})
+			call(12*time.Second, 3, "B", machine.Request{Kind: frontd.RequestConfigPatch, Force: true, Body: []byte(`{"limits":{"keep":"12m"}}`), IdempotencyKey: "B2"})
 			s.w.At(28*time.Second, func() {
-				s.w.Call("operator", "a", s.fronts[5], machine.Ask{Kind: frontd.Workers}, 3*time.Second, func(r frontd.Reply, ok bool) {
+				s.w.Call("operator", "a", s.fronts[5], machine.Request{Kind: frontd.RequestWorkers}, 3*time.Second, func(r frontd.Reply, ok bool) {
 					if !strings.Contains(string(machine.MustJSON(r.Body)), `"emptied":[]`) {
 						t.Errorf("%s: site b is emptied again: %.200s", how, machine.MustJSON(r.Body))
 					}
 				})
-				s.w.Call("operator", "a", s.fronts[5], machine.Ask{Kind: frontd.PlanGet}, 3*time.Second, func(r frontd.Reply, ok bool) {
+				s.w.Call("operator", "a", s.fronts[5], machine.Request{Kind: frontd.RequestConfigGet}, 3*time.Second, func(r frontd.Reply, ok bool) {
 					if !strings.Contains(string(machine.MustJSON(r.Body)), `"keep":"12m0s"`) {
 						t.Errorf("%s: the older plan came back", how)
 					}
@@ -446,10 +446,10 @@
 		kind.RunMs = 3000
 		for i := range 700 {
 			one := kind
-			one.Steps = []int{1}
+			one.StepWidths = []int{1}
 			s.w.At(8*time.Second+time.Duration(i)*50*time.Millisecond, func() { s.submit(s.job(one, fmt.Sprintf("single-%d", i))) })
 		}
-		kind.Steps = []int{members}
+		kind.StepWidths = []int{members}
 		s.w.At(12*time.Second, func() {
 			gang = s.job(kind, "gang")
 			for i := range gang.spec.Tasks {
@@ -493,12 +493,12 @@
 	e.Prepare = func(s *Scenario) {
 		s.w.At(7*time.Second, func() { s.change(1, `{"policies":{"borrow":"waiting == 0"}}`) })
 		long := s.env.Deployment.Traffic[2]
-		long.Steps, long.RunMs, long.Cores = []int{1}, 20000, 1
+		long.StepWidths, long.RunMs, long.Cores = []int{1}, 20000, 1
 		for i := range 120 {
 			s.w.At(10*time.Second, func() { s.submit(s.job(long, fmt.Sprintf("long-%d", i))) })
 		}
 		owner := s.env.Deployment.Traffic[1]
-		owner.Steps, owner.RunMs = []int{1}, 1000
+		owner.StepWidths, owner.RunMs = []int{1}, 1000
 		for i := range 20 {
 			s.w.At(14*time.Second, func() {
 				c := s.job(owner, fmt.Sprintf("owner-%d", i))
--- a/tool/worker/worker.go
+++ b/tool/worker/worker.go
@@ -28,21 +28,21 @@
 type Env struct {
 	ID, Site, Rack, Service string
 	Labels                  []string
-	Total                   ledger.Room
+	Total                   ledger.Resources
 	Incarnation             int64
 }
 
 // Run is one line of the worker's own record.
 type Run struct {
 	ledger.Attempt
-	Worker  string        `json:"worker"`
-	Class   string        `json:"class"`
-	Service string        `json:"service"`
-	Room    ledger.Room   `json:"room"`
-	Gang    string        `json:"gang,omitempty"`
-	From    time.Duration `json:"from"`
-	To      time.Duration `json:"to"`
-	Outcome string        `json:"outcome"`
+	Worker  string           `json:"worker"`
+	Class   string           `json:"class"`
+	Service string           `json:"service"`
+	Room    ledger.Resources `json:"room"`
+	Gang    string           `json:"gang,omitempty"`
+	From    time.Duration    `json:"from"`
+	To      time.Duration    `json:"to"`
+	Outcome string           `json:"outcome"`
 }
 
 // Payload is what the stand-in understands of a task. FetchMs is what each input
@@ -61,7 +61,7 @@
 )
 
 type running struct {
-	start  ledger.Start
+	start  ledger.StartOrder
 	from   time.Duration
 	until  time.Duration
 	fail   bool
@@ -79,7 +79,7 @@
 	nextBeat time.Duration
 	cutoff   time.Duration
 	run      map[ledger.Attempt]running
-	ended    []ledger.End
+	ended    []ledger.AttemptResult
 	seen     map[ledger.Attempt]bool
 	leaving  bool
 	changed  bool
@@ -93,10 +93,10 @@
 
 // Carry takes over the ends that an earlier incarnation noted and that were not
 // acknowledged; a real worker keeps them on its disk.
-func (w *Worker) Carry(ends []ledger.End) { w.ended = append(w.ended, ends...) }
+func (w *Worker) Carry(ends []ledger.AttemptResult) { w.ended = append(w.ended, ends...) }
 
 // Unacked gives the ends to carry.
-func (w *Worker) Unacked() []ledger.End { return slices.Clone(w.ended) }
+func (w *Worker) Unacked() []ledger.AttemptResult { return slices.Clone(w.ended) }
 
 func (w *Worker) Set(f Faults)       { w.faults = f }
 func (w *Worker) ID() string         { return w.env.ID }
@@ -104,22 +104,22 @@
 func (w *Worker) Idle() bool         { return len(w.run) == 0 && len(w.ended) == 0 }
 func (w *Worker) Incarnation() int64 { return w.env.Incarnation }
 
-func (w *Worker) Leave()                { w.leaving, w.changed = true, true }
-func (w *Worker) Leaving() bool         { return w.leaving }
-func (w *Worker) Faults() Faults        { return w.faults }
-func (w *Worker) Total() ledger.Room    { return w.env.Total }
-func (w *Worker) Cutoff() time.Duration { return w.cutoff }
+func (w *Worker) Leave()                  { w.leaving, w.changed = true, true }
+func (w *Worker) Leaving() bool           { return w.leaving }
+func (w *Worker) Faults() Faults          { return w.faults }
+func (w *Worker) Total() ledger.Resources { return w.env.Total }
+func (w *Worker) Cutoff() time.Duration   { return w.cutoff }
 
 func (w *Worker) close(a ledger.Attempt, now time.Duration, outcome, why string) {
 	r := w.run[a]
 	delete(w.run, a)
-	w.Runs = append(w.Runs, Run{a, w.env.ID, r.start.Class, r.start.Service, r.start.Room, r.start.Gang, r.from, now, outcome})
-	w.ended = append(w.ended, ledger.End{Attempt: a, Good: outcome == "good", Stopped: outcome == "stopped", Why: why})
+	w.Runs = append(w.Runs, Run{a, w.env.ID, r.start.Class, r.start.Service, r.start.Resources, r.start.Gang, r.from, now, outcome})
+	w.ended = append(w.ended, ledger.AttemptResult{Attempt: a, Succeeded: outcome == "good", Stopped: outcome == "stopped", Reason: why})
 	w.changed = true
 }
 
 // Tick ends what is due and says whether a beat is to be sent now.
-func (w *Worker) Tick(now time.Duration) (ledger.Beat, bool) {
+func (w *Worker) Tick(now time.Duration) (ledger.Heartbeat, bool) {
 	for _, a := range w.attempts() {
 		r := w.run[a]
 		switch {
@@ -139,7 +139,7 @@
 	if w.changed || !w.waiting && now >= w.nextBeat || w.waiting && now > w.sentAt+DropLate {
 		return w.beat(now), true
 	}
-	return ledger.Beat{}, false
+	return ledger.Heartbeat{}, false
 }
 
 func (w *Worker) attempts() []ledger.Attempt {
@@ -156,22 +156,22 @@
 	return out
 }
 
-func (w *Worker) beat(now time.Duration) ledger.Beat {
+func (w *Worker) beat(now time.Duration) ledger.Heartbeat {
 	w.number++
 	w.sentAt, w.waiting, w.changed = now, true, false
 	free := w.env.Total
 	for _, r := range w.run {
-		free = free.Less(r.start.Room)
+		free = free.Sub(r.start.Resources)
 	}
 	free.Slots += w.faults.LieSlots
-	return ledger.Beat{
-		Worker: w.env.ID, Incarnation: w.env.Incarnation, Number: w.number, Site: w.env.Site, Rack: w.env.Rack, Service: w.env.Service,
+	return ledger.Heartbeat{
+		Worker: w.env.ID, Incarnation: w.env.Incarnation, Number: w.number, Zone: w.env.Site, Rack: w.env.Rack, Service: w.env.Service,
 		Labels: w.env.Labels, Running: w.attempts(), Ended: slices.Clone(w.ended), Free: free, Leaving: w.leaving,
 	}
 }
 
 // Wakeup is when Tick should be called at the latest.
-func (w *Worker) Wakeup() time.Duration {
+func (w *Worker) NextTimer() time.Duration {
 	at := w.nextBeat
 	if w.waiting {
 		at = w.sentAt + DropLate + time.Millisecond
@@ -193,7 +193,7 @@
 
 // Reply takes the answer to a beat; one to an earlier beat, or one that comes
 // late, is dropped whole.
-func (w *Worker) Reply(now time.Duration, number uint64, good bool, orders ledger.Orders) {
+func (w *Worker) Reply(now time.Duration, number uint64, good bool, orders ledger.HeartbeatReply) {
 	if number != w.number || !w.waiting {
 		return
 	}
@@ -210,8 +210,8 @@
 		return
 	}
 	w.nextBeat = now
-	w.cutoff = max(w.cutoff, w.sentAt+orders.Lease)
-	w.ended = slices.DeleteFunc(w.ended, func(e ledger.End) bool { return slices.Contains(orders.Acks, e.Attempt) })
+	w.cutoff = max(w.cutoff, w.sentAt+orders.LeaseDuration)
+	w.ended = slices.DeleteFunc(w.ended, func(e ledger.AttemptResult) bool { return slices.Contains(orders.Acks, e.Attempt) })
 	for _, a := range orders.Stops {
 		if r, ok := w.run[a]; ok && r.stopAt == 0 && !r.hung {
 			r.stopAt = now + stopTook
@@ -230,14 +230,14 @@
 	}
 }
 
-func (w *Worker) start(now time.Duration, s ledger.Start) {
+func (w *Worker) start(now time.Duration, s ledger.StartOrder) {
 	var p Payload
 	if json.Unmarshal(s.Payload, &p) != nil || p.RunMs <= 0 {
 		p.RunMs = 50
 	}
 	w.count++
 	took := time.Duration(p.RunMs) * time.Millisecond
-	for _, holder := range s.Holders {
+	for _, holder := range s.DependencyWorkers {
 		if holder != w.env.ID {
 			took += time.Duration(p.FetchMs) * time.Millisecond
 		}
@@ -254,7 +254,7 @@
 	var out []Run
 	for _, a := range w.attempts() {
 		r := w.run[a]
-		out = append(out, Run{a, w.env.ID, r.start.Class, r.start.Service, r.start.Room, r.start.Gang, r.from, 0, ""})
+		out = append(out, Run{a, w.env.ID, r.start.Class, r.start.Service, r.start.Resources, r.start.Gang, r.from, 0, ""})
 	}
 	return out
 }
