--- a/core/keeper/view.go
+++ b/core/replica/view.go
@@ -3,7 +3,8 @@
 // new backups are copied in full before the witnesses are asked. A process that
 // starts again as primary asks for a new epoch first, so that no position of
 // the ledger ever has two meanings.
-package keeper
+
+package replica
 
 import (
 	"hash/fnv"
@@ -12,10 +13,10 @@
 	"strconv"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/register"
+	"sorrelloom/core/paxos"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 	"sorrelloom/core/wire"
 )
 
@@ -44,7 +45,7 @@
 		r.campaign(now, out)
 	}
 	unheard := now-r.peers[r.acceptor.KnownView.Primary.ID].heardAt > 2*suspectTimeout || r.isPrimary() && !r.hearsMajority(now)
-	if unheard || !register.ContainsMember(r.acceptor.KnownView.Voters, r.self.ID) {
+	if unheard || !paxos.ContainsMember(r.acceptor.KnownView.Voters, r.self.ID) {
 		r.requestView(now, out)
 	}
 }
@@ -69,7 +70,7 @@
 func (r *Replica) pickBackups(now time.Duration, not ...string) []wire.Member {
 	rank := func(s wire.Member) int {
 		switch {
-		case r.isPrimary() && register.ContainsMember(r.acceptor.KnownView.Backups, s.ID) && !r.isSilent(now, s):
+		case r.isPrimary() && paxos.ContainsMember(r.acceptor.KnownView.Backups, s.ID) && !r.isSilent(now, s):
 			return 0
 		case r.isReadyBackup(now, s):
 			return 1
@@ -179,7 +180,7 @@
 			heard[s.ID] = true
 		}
 	}
-	return register.HasMajority(r.acceptor.KnownView.Voters, heard)
+	return paxos.HasMajority(r.acceptor.KnownView.Voters, heard)
 }
 
 func (r *Replica) lead(now time.Duration, out *machine.Output) {
@@ -208,7 +209,7 @@
 	if now >= r.nextTickAt && !r.stopping {
 		r.nextTickAt = now + tickInterval
 		if r.store.TickDue(r.termStartTime + now - r.viewSince) {
-			r.apply(now, ledger.Command{Kind: ledger.KindTick})
+			r.apply(now, state.Command{Kind: state.KindTick})
 		}
 	}
 	stands := slices.ContainsFunc(known.Backups, func(s wire.Member) bool { return r.peers[s.ID].candidate })
@@ -256,7 +257,7 @@
 		crew := r.pickBackups(now, slowMembers...)
 		if allReady(crew) && slices.ContainsFunc(crew, func(s wire.Member) bool {
 			ahead := r.peers[s.ID].match.Index > r.peers[slowMembers[0]].match.Index
-			return !register.ContainsMember(known.Backups, s.ID) && (ahead || r.peers[slowMembers[0]].stopping)
+			return !paxos.ContainsMember(known.Backups, s.ID) && (ahead || r.peers[slowMembers[0]].stopping)
 		}) {
 			r.proposeWhenReady(now, r.nextView(r.self, crew), out)
 			return true
@@ -278,7 +279,7 @@
 	known := r.acceptor.KnownView
 	for _, old := range known.Voters {
 		vanished := now-r.peers[old.ID].heardAt > memberLossTimeout && now-r.viewSince > 3*heartbeatInterval
-		if old.ID == r.self.ID || register.ContainsMember(known.Backups, old.ID) || !vanished && !r.confirmedDead(old) {
+		if old.ID == r.self.ID || paxos.ContainsMember(known.Backups, old.ID) || !vanished && !r.confirmedDead(old) {
 			continue
 		}
 		r.admitMember(now, old, out)
@@ -314,7 +315,7 @@
 func (r *Replica) spareReplicas(now time.Duration, old wire.Member) []wire.Member {
 	var out []wire.Member
 	for _, f := range r.announcements {
-		if !f.Proxy && now-f.receivedAt < suspectTimeout && !register.ContainsMember(r.acceptor.KnownView.Voters, f.Member.ID) {
+		if !f.Proxy && now-f.receivedAt < suspectTimeout && !paxos.ContainsMember(r.acceptor.KnownView.Voters, f.Member.ID) {
 			out = append(out, f.Member)
 		}
 	}
@@ -335,7 +336,7 @@
 	})
 	announced := len(out)
 	for _, n := range r.nodes {
-		if n.Role == "keeper" && !register.ContainsMember(r.acceptor.KnownView.Voters, n.ID) && !register.ContainsMember(out, n.ID) {
+		if n.Role == "keeper" && !paxos.ContainsMember(r.acceptor.KnownView.Voters, n.ID) && !paxos.ContainsMember(out, n.ID) {
 			out = append(out, wire.Member{ID: n.ID, Address: n.Address, Zone: n.Zone})
 		}
 	}
@@ -394,7 +395,7 @@
 		if r.isReadyBackup(now, s) {
 			continue
 		}
-		if ready = false; !r.serving || !register.ContainsMember(r.acceptor.KnownView.Backups, s.ID) {
+		if ready = false; !r.serving || !paxos.ContainsMember(r.acceptor.KnownView.Backups, s.ID) {
 			r.probe(now, s, out)
 		}
 	}
@@ -409,7 +410,7 @@
 	}
 	r.proposedAt = now
 	if r.serving {
-		r.proposedBackups = register.UnionMembers(r.proposedBackups, v.Backups)
+		r.proposedBackups = paxos.UnionMembers(r.proposedBackups, v.Backups)
 	}
 	highestSeen := r.lastBallot
 	for _, b := range []wire.Ballot{r.proposal.HighestPromised, r.acceptor.Promised} {
@@ -418,7 +419,7 @@
 		}
 	}
 	var requests []wire.PaxosMessage
-	r.proposal, requests = register.NewProposal(r.acceptor.KnownView, v, r.self, strconv.FormatUint(r.config.BootID, 36), highestSeen)
+	r.proposal, requests = paxos.NewProposal(r.acceptor.KnownView, v, r.self, strconv.FormatUint(r.config.BootID, 36), highestSeen)
 	r.lastBallot = r.proposal.Ballot
 	out.Log("view_proposed", "epoch", v.Epoch, "primary", v.Primary.Address, "backups", addresses(v.Backups), "round", r.lastBallot.Round)
 	r.sendRequests(wire.KindPrepare, requests, out)
@@ -435,7 +436,7 @@
 }
 
 func (r *Replica) sendRequests(kind string, requests []wire.PaxosMessage, out *machine.Output) {
-	members := register.UnionMembers(r.proposal.CurrentView.Voters, r.proposal.Value.Voters)
+	members := paxos.UnionMembers(r.proposal.CurrentView.Voters, r.proposal.Value.Voters)
 	for _, b := range requests {
 		i := slices.IndexFunc(members, func(s wire.Member) bool { return s.ID == b.To })
 		out.Send(members[i].Address, kind, b)
@@ -464,7 +465,7 @@
 	r.proposal, requests, decided = r.proposal.HandleReply(r.self, kind, b)
 	r.sendRequests(wire.KindAccept, requests, out)
 	if decided.Epoch > 0 {
-		for _, s := range register.UnionMembers(r.proposal.CurrentView.Voters, decided.Voters) {
+		for _, s := range paxos.UnionMembers(r.proposal.CurrentView.Voters, decided.Voters) {
 			if s.ID != r.self.ID {
 				out.Send(s.Address, wire.KindDecided, wire.PaxosMessage{KnownView: decided})
 			}
@@ -484,7 +485,7 @@
 	r.resuming = r.keepsLeadership(v)
 	r.acceptor = state
 	r.putRecord(keyAcceptor, r.acceptor)
-	r.proposal, r.lastBallot, r.proposedAt = register.Proposal{}, wire.Ballot{}, 0
+	r.proposal, r.lastBallot, r.proposedAt = paxos.Proposal{}, wire.Ballot{}, 0
 	if !r.resuming {
 		r.rejectAll(out)
 	}
@@ -510,7 +511,7 @@
 func (r *Replica) rejectStaleSender(now time.Duration, from string, v wire.View, sender wire.Member, boot, token uint64, out *machine.Output) bool {
 	r.adoptView(now, v, out)
 	known := r.acceptor.KnownView
-	member := sender.ID == known.Primary.ID || register.ContainsMember(known.Backups, sender.ID) && !r.isPrimary()
+	member := sender.ID == known.Primary.ID || paxos.ContainsMember(known.Backups, sender.ID) && !r.isPrimary()
 	if v.Epoch != known.Epoch || !member || sender.ID == r.self.ID || r.isPrimary() && r.serving {
 		body := wire.ReplicateAck{BootID: boot, Epoch: v.Epoch, From: r.self, SendID: token, Position: r.store.Position(), KnownView: known}
 		out.Send(from, wire.KindReplicateAck, body)
@@ -581,7 +582,7 @@
 			return
 		case f.Proxy:
 			continue
-		case address < r.self.Address || register.ContainsMember(members, f.Member.ID):
+		case address < r.self.Address || paxos.ContainsMember(members, f.Member.ID):
 			return
 		}
 		founders++
@@ -596,7 +597,7 @@
 	}
 	others := []wire.Member{}
 	for _, f := range r.announcements {
-		if f.Empty && !f.Proxy && now-f.receivedAt < suspectTimeout && !register.ContainsMember(members, f.Member.ID) {
+		if f.Empty && !f.Proxy && now-f.receivedAt < suspectTimeout && !paxos.ContainsMember(members, f.Member.ID) {
 			others = append(others, f.Member)
 		}
 	}
@@ -623,7 +624,7 @@
 // founder, the founders found another, and two first views have two successors.
 func (r *Replica) writeBootstrapView(v wire.View) {
 	r.bootstrapView, r.bootstrapWrite = v, r.lastWriteID+1
-	r.putRecord(keyAcceptor, register.Acceptor{KnownView: v})
+	r.putRecord(keyAcceptor, paxos.Acceptor{KnownView: v})
 }
 
 // spread chooses seats, this one first, from the site that has the fewest of them
@@ -633,7 +634,7 @@
 	for len(out) < min(count, len(from)) {
 		var best *wire.Member
 		for i, s := range from {
-			if !register.ContainsMember(out, s.ID) && (best == nil || perZone[s.Zone] < perZone[best.Zone]) {
+			if !paxos.ContainsMember(out, s.ID) && (best == nil || perZone[s.Zone] < perZone[best.Zone]) {
 				best = &from[i]
 			}
 		}
@@ -655,13 +656,13 @@
 
 // Status is what the keeper shows of itself.
 type Status struct {
-	ID            string             `json:"id"`
-	View          wire.View          `json:"view"`
-	Serving       bool               `json:"serving"`
-	Position      ledger.LogPosition `json:"at"`
-	CommitIndex   uint64             `json:"committed"`
-	ConfigVersion uint64             `json:"planSequence"`
-	Code          code.Code          `json:"code"`
+	ID            string            `json:"id"`
+	View          wire.View         `json:"view"`
+	Serving       bool              `json:"serving"`
+	Position      state.LogPosition `json:"at"`
+	CommitIndex   uint64            `json:"committed"`
+	ConfigVersion uint64            `json:"planSequence"`
+	Code          status.Code       `json:"code"`
 }
 
 func (r *Replica) Status() Status {
--- a/core/scheduler/news.go
+++ b/core/scheduler/news.go
@@ -1,6 +1,7 @@
 // Which workers a pass looks at. In the primary's own process that is those with
 // news: a report, an answer from the disks, a turn that changed, or a task that came
 // into their inbox. Every passEach all workers are looked at.
+
 package scheduler
 
 import (
@@ -8,11 +9,11 @@
 	"slices"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 // noteChanges marks the workers that the ledger's changes concern.
-func (s *Scheduler) markChangedWorkers(changes []ledger.Change) {
+func (s *Scheduler) markChangedWorkers(changes []state.Change) {
 	if !s.access.IsLocal() {
 		return
 	}
--- a/core/scheduler/pace.go
+++ b/core/scheduler/pace.go
@@ -1,13 +1,14 @@
 // How the primary's own dispatcher keeps reports from taking all its time: so many
 // reports with changes a tick become commands, the others are told when to come
 // again; and while commands wait for the disks, agents are told to report less.
+
 package scheduler
 
 import (
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 )
 
 const (
@@ -49,8 +50,8 @@
 }
 
 // putOff tells an agent when to come again. Its worker counts as heard.
-func (s *Scheduler) deferral(r pendingHeartbeat, after time.Duration) ledger.Result {
-	a := ledger.Result{Code: code.QueueFull, Reason: "other reports are taken first", RetryAfter: after}
+func (s *Scheduler) deferral(r pendingHeartbeat, after time.Duration) state.Result {
+	a := state.Result{Code: status.QueueFull, Reason: "other reports are taken first", RetryAfter: after}
 	a.Heartbeat.LeaseDuration = s.leaseLeft(r)
 	return a
 }
--- a/core/scheduler/pace_test.go
+++ b/core/scheduler/pace_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/follow"
+	"sorrelloom/core/feed"
 )
 
 const ms = time.Millisecond
 
 // primary is an authority that says it is the primary's own ledger.
-type localFeed struct{ *follow.ReadReplica }
+type localFeed struct{ *feed.ReadReplica }
 
 func (localFeed) IsLocal() bool { return true }
 
 func newPrimaryScheduler() *Scheduler {
-	return NewWith(Config{Zone: "a"}, localFeed{follow.NewReadReplica("here:1", "a", 1)})
+	return NewWith(Config{Zone: "a"}, localFeed{feed.NewReadReplica("here:1", "a", 1)})
 }
 
 func TestReportIntervalFollowsCommandLatency(t *testing.T) {
--- a/core/scheduler/renewal.go
+++ b/core/scheduler/renewal.go
@@ -1,6 +1,7 @@
 // Calm reports and renewals, in the primary's own process only. A report that
 // changes nothing is answered without a command, with what is left of the lease
 // that all disks have; the leases of all workers heard since are renewed together.
+
 package scheduler
 
 import (
@@ -8,9 +9,9 @@
 	"slices"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 )
 
 const (
@@ -60,12 +61,12 @@
 }
 
 // stale bounces a report that a later one has overtaken.
-func (s *Scheduler) rejectStale(b ledger.Heartbeat) (ledger.Result, bool) {
+func (s *Scheduler) rejectStale(b state.Heartbeat) (state.Result, bool) {
 	h, known := s.lastHeartbeats[b.Worker]
 	if !known || h.incarnation != b.Incarnation || b.Number >= h.number {
-		return ledger.Result{}, false
+		return state.Result{}, false
 	}
-	a := ledger.Result{Code: code.StaleHeartbeat, Reason: "a later report was taken"}
+	a := state.Result{Code: status.StaleHeartbeat, Reason: "a later report was taken"}
 	a.Heartbeat.Incarnation, a.Heartbeat.HeartbeatNumber = h.incarnation, h.number
 	return a, true
 }
@@ -109,9 +110,9 @@
 }
 
 // command submits a report with changes.
-func (s *Scheduler) submitHeartbeat(now time.Duration, r pendingHeartbeat, h lastHeartbeat, reduced ledger.Heartbeat, out *machine.Output) {
+func (s *Scheduler) submitHeartbeat(now time.Duration, r pendingHeartbeat, h lastHeartbeat, reduced state.Heartbeat, out *machine.Output) {
 	worker := r.heartbeat.Worker
-	r.commandID = s.access.Submit(now, ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reduced}, commandTimeout, out)
+	r.commandID = s.access.Submit(now, state.Command{Kind: state.KindHeartbeat, Heartbeat: reduced}, commandTimeout, out)
 	s.commandSent(now, r.commandID)
 	s.heartbeatCommands[r.commandID] = worker
 	w, known := s.access.State().Worker(worker)
@@ -142,16 +143,16 @@
 		return !known
 	})
 	at := s.access.Time(now)
-	var renewals []ledger.Renewal
+	var renewals []state.Renewal
 	for _, id := range slices.Sorted(maps.Keys(s.lastHeartbeats)) {
 		if h := s.lastHeartbeats[id]; h.renewalDue {
-			renewals = append(renewals, ledger.Renewal{Worker: id, Incarnation: h.incarnation, Number: h.number, Age: at - h.receivedAt})
+			renewals = append(renewals, state.Renewal{Worker: id, Incarnation: h.incarnation, Number: h.number, Age: at - h.receivedAt})
 		}
 	}
 	if len(renewals) == 0 {
 		return
 	}
-	id := s.access.Submit(now, ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: renewals}, commandTimeout, out)
+	id := s.access.Submit(now, state.Command{Kind: state.KindRenewWorkers, Renewals: renewals}, commandTimeout, out)
 	for _, r := range renewals {
 		h := s.lastHeartbeats[r.Worker]
 		if w, known := s.access.State().Worker(r.Worker); known && w.LastSeenAt >= h.receivedAt {
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -12,11 +12,11 @@
 	"sort"
 	"time"
 
-	"sorrelloom/core/code"
 	"sorrelloom/core/dispatch"
-	"sorrelloom/core/follow"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/feed"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 	"sorrelloom/core/wire"
 )
 
@@ -49,12 +49,12 @@
 type pendingHeartbeat struct {
 	requestID uint64
 	replyTo   string
-	heartbeat ledger.Heartbeat
+	heartbeat state.Heartbeat
 	holdFor   time.Duration
 	replyBy   time.Duration
 	commandID uint64
 	recorded  bool
-	orders    ledger.HeartbeatReply
+	orders    state.HeartbeatReply
 	// In the primary's own process: when the report came, by ledger time; whether
 	// the ledger has taken it; whether it is calm, needing no command; and whether
 	// it is to be answered as soon as its worker's lease is renewed.
@@ -65,9 +65,9 @@
 }
 
 type pendingProposal struct {
-	assignments []ledger.Assignment
+	assignments []state.Assignment
 	tasks       []dispatch.TaskRef
-	resources   []ledger.Resources
+	resources   []state.Resources
 	class       [2]string
 	preemption  bool
 	rejected    bool
@@ -80,7 +80,7 @@
 // command to the latter is applied before Submit returns; only its answer, which
 // says that two disks have it, comes later.
 type StateAccess interface {
-	State() *ledger.Store
+	State() *state.Store
 	IsLocal() bool
 	Fresh(now time.Duration) bool
 	// Proven says whether the primary's lead was confirmed a moment ago.
@@ -88,9 +88,9 @@
 	// Time is ledger time.
 	Time(now time.Duration) time.Duration
 	Loaded() bool
-	Submit(now time.Duration, cmd ledger.Command, wait time.Duration, out *machine.Output) uint64
-	Receive(now time.Duration, line machine.Message, out *machine.Output) ([]follow.CommandResult, bool)
-	HandleTimers(now time.Duration, out *machine.Output) []follow.CommandResult
+	Submit(now time.Duration, cmd state.Command, wait time.Duration, out *machine.Output) uint64
+	Receive(now time.Duration, line machine.Message, out *machine.Output) ([]feed.CommandResult, bool)
+	HandleTimers(now time.Duration, out *machine.Output) []feed.CommandResult
 	// Leave is said once, before the process goes.
 	Stop(out *machine.Output)
 }
@@ -98,7 +98,7 @@
 // idle is what a worker found nothing for.
 type idleMark struct {
 	queueVersion uint64
-	free         ledger.Resources
+	free         state.Resources
 	until        time.Duration
 }
 
@@ -109,7 +109,7 @@
 	heartbeats        map[string]pendingHeartbeat
 	heartbeatCommands map[uint64]string
 	proposals         map[uint64]pendingProposal
-	stopsSentAt       map[ledger.Attempt]time.Duration
+	stopsSentAt       map[state.Attempt]time.Duration
 	overShareUntil    map[[2]string]uint64
 	nextRegistration  time.Duration
 	unledZones        map[string]bool
@@ -136,13 +136,13 @@
 }
 
 func New(env Config) *Scheduler {
-	return NewWith(env, follow.NewReadReplica(env.Address, env.Zone, env.FirstCommandID))
+	return NewWith(env, feed.NewReadReplica(env.Address, env.Zone, env.FirstCommandID))
 }
 
 // NewWith is a scheduler that works on the given authority.
 func NewWith(env Config, authority StateAccess) *Scheduler {
 	s := &Scheduler{config: env, access: authority, dispatcher: dispatch.New(), heartbeats: map[string]pendingHeartbeat{}, heartbeatCommands: map[uint64]string{},
-		proposals: map[uint64]pendingProposal{}, stopsSentAt: map[ledger.Attempt]time.Duration{}, overShareUntil: map[[2]string]uint64{}, unledZones: map[string]bool{}, idle: map[string]idleMark{}, changedWorkers: map[string]bool{}}
+		proposals: map[uint64]pendingProposal{}, stopsSentAt: map[state.Attempt]time.Duration{}, overShareUntil: map[[2]string]uint64{}, unledZones: map[string]bool{}, idle: map[string]idleMark{}, changedWorkers: map[string]bool{}}
 	if env.SingleQueue {
 		s.dispatcher = dispatch.NewSingleQueue()
 	}
@@ -188,7 +188,7 @@
 
 func (s *Scheduler) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
-	var results []follow.CommandResult
+	var results []feed.CommandResult
 	switch {
 	case in.Stop:
 		s.stopping, s.stopDeadline = true, now+2*time.Second
@@ -253,37 +253,37 @@
 	for _, site := range s.zones() {
 		store, name := s.access.State(), LeadershipOf(site)
 		d, to := store.Leadership(name), s.preferredLeader(site)
-		hello := ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone, Leadership: name, Candidate: to.ID, Epoch: d.Epoch}
+		hello := state.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone, Leadership: name, Candidate: to.ID, Epoch: d.Epoch}
 		silent := d.Leader == "" || store.Now()-d.LastSeenAt > store.Config().Limits.HeartbeatTimeout.Duration/2
 		hello.Transfer = d.Leader == s.config.Address && s.config.Zone != site && to.Zone == site
 		if to.ID != "" && (silent && d.Leader != s.config.Address || hello.Transfer) {
-			s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: hello}, registrationInterval, out)
+			s.access.Submit(now, state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: hello}, registrationInterval, out)
 			said = true
 		}
 	}
 	s.unledZones = map[string]bool{}
 	if !said {
-		s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}}, registrationInterval, out)
+		s.access.Submit(now, state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: state.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}}, registrationInterval, out)
 	}
 }
 
 // take gives a duty to the primary's own dispatcher.
 func (s *Scheduler) takeLeadership(now time.Duration, site string, out *machine.Output) {
 	if s.access.Fresh(now) && !s.leads(site) {
-		hello := ledger.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}
-		s.access.Submit(now, ledger.Command{Kind: ledger.KindTakeLeadership, Name: LeadershipOf(site), SchedulerHeartbeat: hello}, commandTimeout, out)
+		hello := state.SchedulerHeartbeat{Scheduler: s.config.Address, Zone: s.config.Zone}
+		s.access.Submit(now, state.Command{Kind: state.KindTakeLeadership, Name: LeadershipOf(site), SchedulerHeartbeat: hello}, commandTimeout, out)
 	}
 }
 
 // candidate is the scheduler that should hold a site's duty: alive, not the
 // silent holder, of the site itself if there is one, with the fewest duties.
-func (s *Scheduler) preferredLeader(site string) ledger.Scheduler {
+func (s *Scheduler) preferredLeader(site string) state.Scheduler {
 	store := s.access.State()
 	load := map[string]int{}
 	for _, d := range store.Leaderships() {
 		load[d.Leader]++
 	}
-	var best ledger.Scheduler
+	var best state.Scheduler
 	for _, d := range store.Schedulers(store.Config().Limits.HeartbeatTimeout.Duration / 2) {
 		if d.ID == s.config.Address && s.stopping {
 			continue
@@ -304,7 +304,7 @@
 	for _, site := range s.LedZones() {
 		if to := s.preferredLeader(site); to.ID != "" {
 			d := s.access.State().Leadership(LeadershipOf(site))
-			s.access.Submit(now, ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{
+			s.access.Submit(now, state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: state.SchedulerHeartbeat{
 				Scheduler: s.config.Address, Zone: s.config.Zone, Leadership: d.Name, Candidate: to.ID, Epoch: d.Epoch, Transfer: true, Leaving: true,
 			}}, commandTimeout, out)
 		}
@@ -321,7 +321,7 @@
 		if d.Leader == "" && !s.stopping && !s.unledZones[site] {
 			s.unledZones[site], s.nextRegistration = true, now
 		}
-		out.Send(from, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: b.ID, Result: ledger.Result{Code: code.StaleEpoch, Reason: "the duty for this site is elsewhere", RetryAfter: 200 * time.Millisecond}})
+		out.Send(from, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: b.ID, Result: state.Result{Code: status.StaleEpoch, Reason: "the duty for this site is elsewhere", RetryAfter: 200 * time.Millisecond}})
 		return
 	}
 	if a, stale := s.rejectStale(b.Heartbeat); stale {
@@ -329,24 +329,24 @@
 		return
 	}
 	if old, ok := s.heartbeats[b.Heartbeat.Worker]; ok {
-		s.reply(old, ledger.Result{Code: code.StaleHeartbeat, Reason: "a later beat replaced this one"}, out)
+		s.reply(old, state.Result{Code: status.StaleHeartbeat, Reason: "a later beat replaced this one"}, out)
 	}
 	r := pendingHeartbeat{requestID: b.ID, replyTo: from, heartbeat: b.Heartbeat, holdFor: b.MaxWait, replyBy: now + b.MaxWait}
 	if s.access.IsLocal() {
 		s.admitHeartbeat(now, r, out)
 		return
 	}
-	r.commandID = s.access.Submit(now, ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b.Heartbeat}, commandTimeout, out)
+	r.commandID = s.access.Submit(now, state.Command{Kind: state.KindHeartbeat, Heartbeat: b.Heartbeat}, commandTimeout, out)
 	s.heartbeats[b.Heartbeat.Worker] = r
 	s.heartbeatCommands[r.commandID] = b.Heartbeat.Worker
 }
 
-func (s *Scheduler) reply(r pendingHeartbeat, a ledger.Result, out *machine.Output) {
+func (s *Scheduler) reply(r pendingHeartbeat, a state.Result, out *machine.Output) {
 	out.Send(r.replyTo, wire.KindHeartbeatReply, wire.HeartbeatReply{ID: r.requestID, Result: a})
 	delete(s.heartbeats, r.heartbeat.Worker)
 }
 
-func (s *Scheduler) handleResult(now time.Duration, r follow.CommandResult, out *machine.Output) {
+func (s *Scheduler) handleResult(now time.Duration, r feed.CommandResult, out *machine.Output) {
 	if p, ok := s.proposals[r.ID]; ok {
 		for _, pick := range p.assignments {
 			s.changedWorkers[pick.Worker] = true
@@ -357,9 +357,9 @@
 			p.expiresAt, p.committedAt, p.rejected = now+rejectedBackoff, 0, true
 			switch {
 			case p.preemption:
-			case r.Result.Code == code.TaskNotPending:
+			case r.Result.Code == status.TaskNotPending:
 				s.dispatcher.Counters.Reserved++
-			case r.Result.Code == code.QuotaExceeded:
+			case r.Result.Code == status.QuotaExceeded:
 				s.overShareUntil[p.class] = max(s.overShareUntil[p.class], r.AppliedIndex)
 				p.expiresAt = now
 			}
@@ -390,7 +390,7 @@
 // copy does not show yet, tasks that were refused a moment ago, and classes that
 // the ledger found over their share at a position that the copy has not reached.
 func (s *Scheduler) inFlight(now time.Duration) dispatch.InFlight {
-	h := dispatch.InFlight{Tasks: map[dispatch.TaskRef]bool{}, Resources: map[string]ledger.Resources{}, Slots: map[[2]string]int{}, OverShare: map[[2]string]bool{}}
+	h := dispatch.InFlight{Tasks: map[dispatch.TaskRef]bool{}, Resources: map[string]state.Resources{}, Slots: map[[2]string]int{}, OverShare: map[[2]string]bool{}}
 	for class, at := range s.overShareUntil {
 		if s.access.State().Position().Index >= at {
 			delete(s.overShareUntil, class)
@@ -437,17 +437,17 @@
 			s.nextPreemption = now + preemptionInterval
 			for _, site := range s.LedZones() {
 				if pick, ok := s.dispatcher.Preempt(store, site, s.inFlight(now)); ok {
-					s.propose(now, LeadershipOf(site), ledger.KindPreempt, pick, out)
+					s.propose(now, LeadershipOf(site), state.KindPreempt, pick, out)
 					s.nextPreemption = now
 				}
 			}
 		}
 	}
-	unsure := map[ledger.Attempt]bool{}
+	unsure := map[state.Attempt]bool{}
 	for _, p := range s.proposals {
 		for i := range p.tasks {
 			if s.access.IsLocal() && p.committedAt == 0 && !p.rejected {
-				unsure[ledger.Attempt{Job: p.assignments[i].Job, Task: p.assignments[i].Task}] = true
+				unsure[state.Attempt{Job: p.assignments[i].Job, Task: p.assignments[i].Task}] = true
 			}
 		}
 	}
@@ -457,7 +457,7 @@
 		}
 	}
 	if whole {
-		maps.DeleteFunc(s.stopsSentAt, func(_ ledger.Attempt, at time.Duration) bool { return now-at > 10*resendStopAfter })
+		maps.DeleteFunc(s.stopsSentAt, func(_ state.Attempt, at time.Duration) bool { return now-at > 10*resendStopAfter })
 	}
 }
 
@@ -492,7 +492,7 @@
 					break
 				}
 				asked++
-				if s.propose(now, LeadershipOf(s.heartbeats[worker].heartbeat.Zone), ledger.KindGrantLeases, choice, out); !s.access.IsLocal() {
+				if s.propose(now, LeadershipOf(s.heartbeats[worker].heartbeat.Zone), state.KindGrantLeases, choice, out); !s.access.IsLocal() {
 					held = s.inFlight(now)
 					continue
 				}
@@ -517,7 +517,7 @@
 }
 
 func (s *Scheduler) propose(now time.Duration, duty, kind string, c dispatch.Proposal, out *machine.Output) {
-	p := pendingProposal{assignments: c.Assignments, tasks: c.Tasks, expiresAt: now + commandTimeout, preemption: kind == ledger.KindPreempt}
+	p := pendingProposal{assignments: c.Assignments, tasks: c.Tasks, expiresAt: now + commandTimeout, preemption: kind == state.KindPreempt}
 	for i, pick := range c.Assignments {
 		c.Assignments[i].HeartbeatNumber = s.lastHeartbeats[pick.Worker].number
 		job, _ := s.access.State().Job(pick.Job)
@@ -526,32 +526,32 @@
 			p.resources = append(p.resources, job.Spec.Tasks[c.Tasks[i].Index].Resources)
 		}
 	}
-	grant := ledger.Grant{Leadership: duty, Epoch: s.access.State().Leadership(duty).Epoch, Assignments: c.Assignments, PreemptFor: c.PreemptFor}
-	s.proposals[s.access.Submit(now, ledger.Command{Kind: kind, Grant: grant}, commandTimeout, out)] = p
+	grant := state.Grant{Leadership: duty, Epoch: s.access.State().Leadership(duty).Epoch, Assignments: c.Assignments, PreemptFor: c.PreemptFor}
+	s.proposals[s.access.Submit(now, state.Command{Kind: kind, Grant: grant}, commandTimeout, out)] = p
 }
 
 // Drop forgets what was under way, since the lead has come or gone, and takes all
 // that waits from the ledger anew.
 func (s *Scheduler) Reset() {
-	s.dispatcher.Update(s.access.State(), []ledger.Change{{All: true}})
+	s.dispatcher.Update(s.access.State(), []state.Change{{All: true}})
 	s.heartbeats, s.proposals, s.heartbeatCommands = map[string]pendingHeartbeat{}, map[uint64]pendingProposal{}, map[uint64]string{}
 	s.idle, s.changedWorkers, s.nextFullScan = map[string]idleMark{}, map[string]bool{}, 0
 	s.resetHeartbeats()
-	s.overShareUntil, s.unledZones, s.stopsSentAt = map[[2]string]uint64{}, map[string]bool{}, map[ledger.Attempt]time.Duration{}
+	s.overShareUntil, s.unledZones, s.stopsSentAt = map[[2]string]uint64{}, map[string]bool{}, map[state.Attempt]time.Duration{}
 }
 
 // orders replies to a beat: acks and stops from its record, starts from the
 // copy. A turn rides on the beat it was granted on or on the one after it.
-func (s *Scheduler) sendOrders(now time.Duration, r pendingHeartbeat, unsure map[ledger.Attempt]bool, out *machine.Output) {
+func (s *Scheduler) sendOrders(now time.Duration, r pendingHeartbeat, unsure map[state.Attempt]bool, out *machine.Output) {
 	orders := r.orders
 	urgent := len(orders.Acks) > 0
 	if !s.notYetApplied(r) && s.access.State().HasPendingOrders(r.heartbeat.Worker) {
-		listed := map[ledger.Attempt]bool{}
+		listed := map[state.Attempt]bool{}
 		for _, a := range r.heartbeat.Running {
 			listed[a] = true
 		}
 		for _, p := range s.access.State().PendingOrders(r.heartbeat.Worker) {
-			if p.Lease.Incarnation != r.heartbeat.Incarnation || unsure[ledger.Attempt{Job: p.Job, Task: p.Task}] {
+			if p.Lease.Incarnation != r.heartbeat.Incarnation || unsure[state.Attempt{Job: p.Job, Task: p.Task}] {
 				continue
 			}
 			if p.Lease.StopReason != "" && listed[p.Attempt] && !slices.Contains(orders.Stops, p.Attempt) {
@@ -577,7 +577,7 @@
 		orders.LeaseDuration = s.leaseLeft(r)
 	}
 	orders.Epoch = s.access.State().Position().Epoch
-	s.reply(r, ledger.Result{Code: code.OK, RetryAfter: s.reportInterval(now), Heartbeat: orders}, out)
+	s.reply(r, state.Result{Code: status.OK, RetryAfter: s.reportInterval(now), Heartbeat: orders}, out)
 }
 
 // Inboxes shows how much waits where, for operators.
--- a/core/ledger/busyness.go
+++ b/core/state/busyness.go
@@ -1,7 +1,8 @@
 // How busy a service's workers are. It is asked for with every grant, so it is
 // kept and changed along with the turns, and counted anew only when a worker comes
 // or goes, changes what it can take, or falls silent.
-package ledger
+
+package state
 
 import (
 	"math"
--- a/core/ledger/capture.go
+++ b/core/state/capture.go
@@ -1,5 +1,6 @@
 // Captures of the ledger at one position, for snapshots and checkpoints.
-package ledger
+
+package state
 
 import (
 	"iter"
@@ -8,8 +9,8 @@
 	"strconv"
 	"strings"
 
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
 )
 
 // Capture is a ledger as it stood at one position. To take one costs a copy of
@@ -17,7 +18,7 @@
 // can be encoded later, piece by piece and by another goroutine.
 type Snapshot struct {
 	metadata     metadata
-	config       plan.Config
+	config       config.Config
 	jobs         map[string]Job
 	workers      map[string]Worker
 	drainedZones map[string]bool
--- a/core/ledger/decision.go
+++ b/core/state/decision.go
@@ -1,6 +1,7 @@
 // Decisions are what the audit is written from: what the ledger decided with one
 // command, and which command decided last before it. The chain shows a gap.
-package ledger
+
+package state
 
 import (
 	"crypto/sha256"
--- a/core/ledger/dryrun.go
+++ b/core/state/dryrun.go
@@ -1,11 +1,12 @@
 // A dry run says what a plan would change for what waits and runs right now,
 // class by class, without changing anything.
-package ledger
+
+package state
 
 import (
 	"sort"
 
-	"sorrelloom/core/plan"
+	"sorrelloom/core/config"
 )
 
 // DryRow is one class under the plan in force and under the one on trial. Order
@@ -28,10 +29,10 @@
 }
 
 // DryRun compares the plan in force with another.
-func (l *Store) DryRun(next plan.Config) []DryRunRow {
+func (l *Store) DryRun(next config.Config) []DryRunRow {
 	type oldest struct {
 		waiting int
-		names   plan.OrderInput
+		names   config.OrderInput
 	}
 	heads := map[[2]string]oldest{}
 	for _, job := range l.ActiveJobs() {
@@ -42,14 +43,14 @@
 			key := [2]string{job.Spec.Service, job.Spec.Class}
 			h := heads[key]
 			if waited := (l.now - t.ReadyAt).Seconds(); h.waiting == 0 || waited > h.names.WaitedSeconds {
-				h.names = plan.OrderInput{Level: t.Level, WaitedSeconds: waited, Class: key[1], Service: key[0], Slots: job.Spec.Tasks[i].Resources.Slots}
+				h.names = config.OrderInput{Level: t.Level, WaitedSeconds: waited, Class: key[1], Service: key[0], Slots: job.Spec.Tasks[i].Resources.Slots}
 			}
 			h.waiting++
 			heads[key] = h
 		}
 	}
 	keys := map[[2]string]bool{}
-	for _, p := range []plan.Config{l.config, next} {
+	for _, p := range []config.Config{l.config, next} {
 		for service, s := range p.Services {
 			for class := range s.Classes {
 				keys[[2]string{service, class}] = true
@@ -73,14 +74,14 @@
 	return rows
 }
 
-func (l *Store) dryRunOutcome(p plan.Config, rules plan.CompiledPolicies, key [2]string, names plan.OrderInput) DryRunOutcome {
+func (l *Store) dryRunOutcome(p config.Config, rules config.CompiledPolicies, key [2]string, names config.OrderInput) DryRunOutcome {
 	class, known := p.Services[key[0]].Classes[key[1]]
 	b := l.ServiceLoad(key[0])
 	share, used := (b.Slots*class.Share+99)/100, b.Used[key[1]]
 	names.Priority, names.Share, names.Used = class.Priority, share, used
 	return DryRunOutcome{
 		Known: known, ShareSlots: share, Order: rules.Order(names),
-		Borrow: known && rules.Borrow(plan.BorrowInput{
+		Borrow: known && rules.Borrow(config.BorrowInput{
 			Total: b.Slots, Idle: b.Idle, Requested: 1, Used: max(used, share), Share: share,
 			Waiting: l.UnmetDemand(key[0], key[1]), Class: key[1], Service: key[0],
 		}),
--- a/core/ledger/encoding.go
+++ b/core/state/encoding.go
@@ -1,5 +1,6 @@
 // The encoding of commands, which is made once and shared.
-package ledger
+
+package state
 
 import (
 	"encoding/json"
--- a/core/ledger/explain.go
+++ b/core/state/explain.go
@@ -1,13 +1,14 @@
 // Why a job waits, in a sentence: the reasons that a grant would be bounced
 // with now, told for people.
-package ledger
+
+package state
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"sorrelloom/core/code"
+	"sorrelloom/core/status"
 )
 
 // Explain says why a job has not ended yet.
@@ -69,7 +70,7 @@
 // obstacle counts, over the workers of the service, what keeps a task away.
 func (l *Store) explainObstacle(job Job, i int) string {
 	spec := job.Spec.Tasks[i]
-	counts := map[code.Code]int{}
+	counts := map[status.Code]int{}
 	of, room := 0, 0
 	for _, w := range l.workers {
 		if w.Service != job.Spec.Service {
@@ -77,7 +78,7 @@
 		}
 		of++
 		c := l.Fits(job, i, w)
-		if c == code.OK {
+		if c == status.OK {
 			if l.FreeResources(w.ID()).Covers(spec.Resources) {
 				room++
 			}
@@ -87,12 +88,12 @@
 	switch {
 	case of == 0:
 		return "no worker of service " + job.Spec.Service + " has beaten yet"
-	case counts[code.OK] == 0:
+	case counts[status.OK] == 0:
 		var why []string
-		for _, c := range []code.Code{code.WorkerMismatch, code.WorkerUnresponsive, code.Draining, code.ZoneDrained} {
+		for _, c := range []status.Code{status.WorkerMismatch, status.WorkerUnresponsive, status.Draining, status.ZoneDrained} {
 			if counts[c] > 0 {
-				why = append(why, fmt.Sprintf("%d %s", counts[c], map[code.Code]string{
-					code.WorkerMismatch: "lack a label", code.WorkerUnresponsive: "are silent", code.Draining: "are draining", code.ZoneDrained: "stand in an emptied site",
+				why = append(why, fmt.Sprintf("%d %s", counts[c], map[status.Code]string{
+					status.WorkerMismatch: "lack a label", status.WorkerUnresponsive: "are silent", status.Draining: "are draining", status.ZoneDrained: "stand in an emptied site",
 				}[c]))
 			}
 		}
@@ -104,7 +105,7 @@
 	}
 	switch {
 	case room == 0:
-		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now", counts[code.OK], spec.Resources.Slots, spec.Resources.Cores)
+		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now", counts[status.OK], spec.Resources.Slots, spec.Resources.Cores)
 	case spec.Gang != "" && l.demandOf(job, i).gangSlots > l.ServiceLoad(job.Spec.Service).Slots:
 		return fmt.Sprintf("the gang %s needs %d slots at once, the workers there have %d", spec.Gang, l.demandOf(job, i).gangSlots, l.ServiceLoad(job.Spec.Service).Slots)
 	case spec.Gang != "":
--- a/core/ledger/ledger.go
+++ b/core/state/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger is the trusted core: one pure and deterministic state machine
+// Package state is the trusted core: one pure and deterministic state machine
 // of jobs, tasks, turns, workers, sites, duties and the plan. Every promise is
 // checked here, in the one conditional write that makes a change; whoever asks
 // for a change may be slow, stale or wrong, and is then bounced. The same code
 // runs on the primary, the backup, the third keeper and every follower.
-package ledger
+package state
 
 import (
 	"cmp"
@@ -15,9 +15,9 @@
 	"strings"
 	"time"
 
-	"sorrelloom/core/code"
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/status"
 )
 
 type taskRef struct {
@@ -43,8 +43,8 @@
 	position       LogPosition
 	now            time.Duration
 	nextTaskNumber uint64
-	config         plan.Config
-	policies       plan.CompiledPolicies
+	config         config.Config
+	policies       config.CompiledPolicies
 	jobs           map[string]Job
 	workers        map[string]Worker
 	drainedZones   map[string]bool
@@ -120,7 +120,7 @@
 }
 
 func New() *Store {
-	l := &Store{config: plan.Default(), nextTaskNumber: 1}
+	l := &Store{config: config.Default(), nextTaskNumber: 1}
 	l.policies = l.config.Compile()
 	l.jobs, l.workers, l.drainedZones = map[string]Job{}, map[string]Worker{}, map[string]bool{}
 	l.leaderships, l.schedulers = map[string]Leadership{}, map[string]Scheduler{}
@@ -221,10 +221,10 @@
 	l.changes = append(l.changes, Change{Job: at.job, Task: at.index})
 }
 
-func (l *Store) Position() LogPosition           { return l.position }
-func (l *Store) Now() time.Duration              { return l.now }
-func (l *Store) Config() plan.Config             { return l.config }
-func (l *Store) Policies() plan.CompiledPolicies { return l.policies }
+func (l *Store) Position() LogPosition             { return l.position }
+func (l *Store) Now() time.Duration                { return l.now }
+func (l *Store) Config() config.Config             { return l.config }
+func (l *Store) Policies() config.CompiledPolicies { return l.policies }
 
 // TakeChanges hands over what changed since it was last called.
 func (l *Store) TakeChanges() []Change {
@@ -273,24 +273,24 @@
 	case KindRenewWorkers:
 		return l.renewWorkers(cmd.Renewals)
 	}
-	return reject(code.Malformed, "unknown command %q", cmd.Kind)
+	return reject(status.Malformed, "unknown command %q", cmd.Kind)
 }
 
 // resolve finds the class of a job that names host and path.
-func (l *Store) resolveRoute(host, path string) (plan.Route, Result) {
+func (l *Store) resolveRoute(host, path string) (config.Route, Result) {
 	if l.config.Version == 0 {
-		a := reject(code.NoConfig, "there is no plan yet")
+		a := reject(status.NoConfig, "there is no plan yet")
 		a.RetryAfter = time.Second
-		return plan.Route{}, a
+		return config.Route{}, a
 	}
 	e, ok := l.config.FindRoute(host, path)
 	if !ok {
-		return e, reject(code.NoRoute, "the plan has no entry for %s%s", host, path)
+		return e, reject(status.NoRoute, "the plan has no entry for %s%s", host, path)
 	}
-	return e, Result{Code: code.OK}
+	return e, Result{Code: status.OK}
 }
 
-func (l *Store) jobResult(cmd Command, c code.Code, job Job) Result {
+func (l *Store) jobResult(cmd Command, c status.Code, job Job) Result {
 	if cmd.Summary {
 		job = job.Summary()
 	}
@@ -309,16 +309,16 @@
 	sum := digest(Normalize(spec))
 	if old, ok := l.jobs[spec.ID]; ok {
 		if old.Digest != sum {
-			return reject(code.JobConflict, "job %s was accepted before with other content", spec.ID)
+			return reject(status.JobConflict, "job %s was accepted before with other content", spec.ID)
 		}
-		return l.jobResult(cmd, code.AlreadyDone, old)
+		return l.jobResult(cmd, status.AlreadyDone, old)
 	}
 	if old, ok := l.pastJobs.byKey[spec.ID]; ok {
 		if old.Digest != sum {
-			return reject(code.JobConflict, "job %s was accepted before with other content", spec.ID)
+			return reject(status.JobConflict, "job %s was accepted before with other content", spec.ID)
 		}
 		job, _ := l.PastJob(spec.ID)
-		return Result{Code: code.AlreadyDone, Job: job}
+		return Result{Code: status.AlreadyDone, Job: job}
 	}
 	spec = l.withClassDefaults(Normalize(spec))
 	if a := l.ValidateJob(spec); !a.Code.IsSuccess() {
@@ -340,12 +340,12 @@
 		l.countTask(job, i, 1)
 	}
 	l.makeTasksReady(spec.ID)
-	return l.jobResult(cmd, code.OK, l.jobs[spec.ID])
+	return l.jobResult(cmd, status.OK, l.jobs[spec.ID])
 }
 
 // entryOf gives service and class of a job by its entry. One that was accepted
 // before keeps its own, also once its entry leads elsewhere: it is the same job.
-func (l *Store) routeOf(spec JobSpec) (plan.Route, Result) {
+func (l *Store) routeOf(spec JobSpec) (config.Route, Result) {
 	e, a := l.resolveRoute(spec.Host, spec.Path)
 	if old, ok := l.jobs[spec.ID]; ok {
 		e.Service, e.Class = old.Spec.Service, old.Spec.Class
@@ -466,32 +466,32 @@
 		}
 	}
 	if past, ok := l.PastJob(id); ok {
-		return Result{Code: code.AlreadyDone, Job: past}
+		return Result{Code: status.AlreadyDone, Job: past}
 	}
 	job, ok := l.jobs[id]
 	if !ok {
 		return l.RejectUnknownJob(id)
 	}
 	if jobEnded(job) || job.EndingState != "" {
-		return l.jobResult(cmd, code.AlreadyDone, job)
+		return l.jobResult(cmd, status.AlreadyDone, job)
 	}
 	l.recordDecision(Decision{Kind: "cancel", Job: id})
 	l.endJob(id, Cancelled, "cancelled by the caller")
-	return l.jobResult(cmd, code.OK, l.jobs[id])
+	return l.jobResult(cmd, status.OK, l.jobs[id])
 }
 
 func (l *Store) changeConfig(c ConfigChange) Result {
 	if !c.Forced && c.BaseVersion != l.config.Version {
-		a := reject(code.StaleConfig, "the plan is at sequence %d, not %d", l.config.Version, c.BaseVersion)
+		a := reject(status.StaleConfig, "the plan is at sequence %d, not %d", l.config.Version, c.BaseVersion)
 		a.ConfigVersion = l.config.Version
 		return a
 	}
-	var next plan.Config
-	var faults []plan.Violation
+	var next config.Config
+	var faults []config.Violation
 	if c.Patch {
-		next, faults = plan.ApplyPatch(l.config, c.Body)
+		next, faults = config.ApplyPatch(l.config, c.Body)
 	} else {
-		next, faults = plan.Parse(c.Body)
+		next, faults = config.Parse(c.Body)
 	}
 	if len(faults) > 0 {
 		a := reject(faults[0].Code, "%s: %s", faults[0].Path, faults[0].Reason)
@@ -501,7 +501,7 @@
 	next.Version = l.config.Version + 1
 	if c.Version > 0 {
 		if c.Version <= l.config.Version {
-			return reject(code.InvalidConfig, "/sequence: %d is not above %d", c.Version, l.config.Version)
+			return reject(status.InvalidConfig, "/sequence: %d is not above %d", c.Version, l.config.Version)
 		}
 		next.Version = c.Version
 	}
@@ -513,11 +513,11 @@
 	if !same {
 		l.changes = append(l.changes, Change{All: true})
 	}
-	return Result{Code: code.OK, ConfigVersion: next.Version}
+	return Result{Code: status.OK, ConfigVersion: next.Version}
 }
 
 // kept says whether every class of a plan stands in the next as it was.
-func classesUnchanged(old, next plan.Config) bool {
+func classesUnchanged(old, next config.Config) bool {
 	for name, service := range old.Services {
 		for class, was := range service.Classes {
 			if now, ok := next.Services[name].Classes[class]; !ok || now.Priority != was.Priority || now.Quick != was.Quick {
@@ -533,20 +533,20 @@
 	name, on := cmd.Name, cmd.Drain
 	if known := l.knownZones(); !slices.Contains(known, name) {
 		if l.config.Version == 0 {
-			a := reject(code.NoConfig, "there is no plan yet, and nobody has been heard of in site %q", name)
+			a := reject(status.NoConfig, "there is no plan yet, and nobody has been heard of in site %q", name)
 			a.RetryAfter = time.Second
 			return a
 		}
 		return rejectUnknownName("site", name, known)
 	}
 	if cmd.MaxAge > 0 && l.now-cmd.RequestedAt > cmd.MaxAge {
-		return reject(code.RequestExpired, "asked %s ago; an order older than %s is not carried out", l.now-cmd.RequestedAt, cmd.MaxAge)
+		return reject(status.RequestExpired, "asked %s ago; an order older than %s is not carried out", l.now-cmd.RequestedAt, cmd.MaxAge)
 	}
 	if cmd.MaxAge > 0 && l.zoneOrders[name] > cmd.ConfirmedIndex {
 		if l.drainedZones[name] != on {
-			return reject(code.RequestExpired, "a later order was carried out for site %q", name)
+			return reject(status.RequestExpired, "a later order was carried out for site %q", name)
 		}
-		return Result{Code: code.AlreadyDone}
+		return Result{Code: status.AlreadyDone}
 	}
 	l.zoneOrders[name] = l.position.Index
 	clear(l.serviceLoads)
@@ -561,7 +561,7 @@
 		}
 	}
 	l.changes = append(l.changes, Change{All: true})
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // sites are those that the ledger has heard of, by a worker or a scheduler, and
@@ -586,7 +586,7 @@
 	if len(known) > 20 {
 		text += fmt.Sprintf(" and %d more", len(known)-20)
 	}
-	return reject(code.UnknownName, "no %s %q; known are: %s", what, name, text)
+	return reject(status.UnknownName, "no %s %q; known are: %s", what, name, text)
 }
 
 func (l *Store) drainWorker(name string, on bool) Result {
@@ -598,7 +598,7 @@
 	l.recordDecision(Decision{Kind: map[bool]string{true: "drain", false: "undrain"}[on], Worker: name})
 	l.setWorker(w)
 	l.changes = append(l.changes, Change{Worker: name})
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // gone takes an operator's word that a silent worker will not come back: what is
@@ -609,15 +609,15 @@
 	case !ok:
 		return rejectUnknownName("worker", name, slices.Sorted(maps.Keys(l.workers)))
 	case l.Live(w):
-		return reject(code.WorkerAlive, "worker %s was heard %s ago", name, l.now-w.LastSeenAt)
+		return reject(status.WorkerAlive, "worker %s was heard %s ago", name, l.now-w.LastSeenAt)
 	case w.ConfirmedDead:
-		return Result{Code: code.AlreadyDone}
+		return Result{Code: status.AlreadyDone}
 	}
 	w.ConfirmedDead = true
 	l.recordDecision(Decision{Kind: "gone", Worker: name})
 	l.setWorker(w)
 	l.changes = append(l.changes, Change{Worker: name})
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // stopAll sends back what a worker has not started yet; what runs may end.
@@ -661,16 +661,16 @@
 		}
 	}
 	if h.Leadership == "" {
-		return Result{Code: code.OK}
+		return Result{Code: status.OK}
 	}
 	d := l.leaderships[h.Leadership]
 	silent := d.Leader == "" || l.now-d.LastSeenAt > l.config.Limits.HeartbeatTimeout.Duration/2
 	passed := h.Transfer && d.Leader == h.Scheduler
 	if h.Epoch != d.Epoch || !silent && !passed {
-		return reject(code.StaleEpoch, "duty %s is held by %s at epoch %d", h.Leadership, d.Leader, d.Epoch)
+		return reject(status.StaleEpoch, "duty %s is held by %s at epoch %d", h.Leadership, d.Leader, d.Epoch)
 	}
 	if _, ok := l.schedulers[h.Candidate]; !ok {
-		return reject(code.UnknownName, "no scheduler %s has said hello", h.Candidate)
+		return reject(status.UnknownName, "no scheduler %s has said hello", h.Candidate)
 	}
 	votes := map[string]string{h.Scheduler: h.Candidate}
 	for voter, to := range d.Votes {
@@ -685,7 +685,7 @@
 		l.changes = append(l.changes, Change{All: true})
 	}
 	l.leaderships[h.Leadership] = d
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // move hands a duty over because an operator asks for it.
@@ -698,12 +698,12 @@
 		return rejectUnknownName("scheduler", to, slices.Sorted(maps.Keys(l.schedulers)))
 	}
 	if d.Leader == to {
-		return Result{Code: code.AlreadyDone}
+		return Result{Code: status.AlreadyDone}
 	}
 	l.recordDecision(Decision{Kind: "duty", Name: name, Worker: to})
 	l.leaderships[name] = Leadership{Name: name, Leader: to, Epoch: d.Epoch + 1, LastSeenAt: l.now}
 	l.changes = append(l.changes, Change{All: true})
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // take gives a duty to the primary's own dispatcher, which needs no vote: whoever
@@ -712,7 +712,7 @@
 	l.schedulers[h.Scheduler] = Scheduler{ID: h.Scheduler, Zone: h.Zone, LastSeenAt: l.now}
 	l.recordDecision(Decision{Kind: "duty", Name: name, Worker: h.Scheduler})
 	l.leaderships[name] = Leadership{Name: name, Leader: h.Scheduler, Epoch: l.leaderships[name].Epoch + 1, LastSeenAt: l.now}
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 func (l *Store) hasMajority(votes map[string]string, to string, alive []Scheduler) bool {
--- a/core/ledger/load.go
+++ b/core/state/load.go
@@ -1,5 +1,6 @@
 // Rebuilding a ledger from records.
-package ledger
+
+package state
 
 import (
 	"encoding/json"
--- a/core/ledger/memory.go
+++ b/core/state/memory.go
@@ -2,7 +2,8 @@
 // operators' writes by their tokens, so that one that comes again is answered
 // as before and changes nothing, and jobs whose records are gone, so that one
 // handed in again is not started again.
-package ledger
+
+package state
 
 import (
 	"cmp"
@@ -11,8 +12,8 @@
 	"slices"
 	"time"
 
-	"sorrelloom/core/code"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/status"
 )
 
 const (
@@ -93,17 +94,17 @@
 	if known, ok := l.rememberedRequest(cmd.IdempotencyKey); ok {
 		switch {
 		case known.Digest != sum:
-			return reject(code.IdempotencyKeyReused, "the key %s was used for another request", cmd.IdempotencyKey)
+			return reject(status.IdempotencyKeyReused, "the key %s was used for another request", cmd.IdempotencyKey)
 		case known.Result.Code.IsSuccess():
-			known.Result.Code = code.AlreadyDone
+			known.Result.Code = status.AlreadyDone
 		}
 		return known.Result
 	}
 	if cmd.RequestedAt != RequestTimeUnknown && l.now-cmd.RequestedAt > RequestRetention {
-		return reject(code.RequestExpired, "asked %s ago; what was asked over %s ago is not carried out", l.now-cmd.RequestedAt, RequestRetention)
+		return reject(status.RequestExpired, "asked %s ago; what was asked over %s ago is not carried out", l.now-cmd.RequestedAt, RequestRetention)
 	}
 	if len(l.requests.order) >= MaxRequests {
-		a := reject(code.QueueFull, "%d writes of operators within %s", MaxRequests, RequestRetention)
+		a := reject(status.QueueFull, "%d writes of operators within %s", MaxRequests, RequestRetention)
 		a.RetryAfter = l.requests.byKey[l.requests.order[0]].AnsweredAt + RequestRetention - l.now
 		return a
 	}
@@ -127,7 +128,7 @@
 }
 
 // passing says whether a refusal holds for a moment only.
-func isTemporary(c code.Code) bool {
+func isTemporary(c status.Code) bool {
 	status := c.HTTPStatus()
 	return status == statusTooManyRequests || status >= statusServerError
 }
@@ -181,9 +182,9 @@
 // back the ledger can tell.
 func (l *Store) RejectUnknownJob(id string) Result {
 	if l.forgottenUntil > 0 {
-		return reject(code.UnknownJob, "job %s is not known; of jobs that ended over %s ago nothing is", id, (l.now - l.forgottenUntil).Round(time.Second))
+		return reject(status.UnknownJob, "job %s is not known; of jobs that ended over %s ago nothing is", id, (l.now - l.forgottenUntil).Round(time.Second))
 	}
-	return reject(code.UnknownJob, "job %s is not known; it was never accepted", id)
+	return reject(status.UnknownJob, "job %s is not known; it was never accepted", id)
 }
 
 // forgotten says which keys of the memories are due.
--- a/core/ledger/read.go
+++ b/core/state/read.go
@@ -1,8 +1,9 @@
 // Questions that change nothing: a job, how much of a class waits, the plan, and
 // how an operator's write was answered.
-package ledger
 
-import "sorrelloom/core/code"
+package state
+
+import "sorrelloom/core/status"
 
 // Read answers a command of a kind that Reads.
 func (l *Store) Read(cmd Command) Result {
@@ -20,23 +21,23 @@
 		if !ok {
 			return l.RejectUnknownJob(cmd.Name)
 		}
-		return l.jobResult(cmd, code.OK, job)
+		return l.jobResult(cmd, status.OK, job)
 	case KindReadWaitingCount:
 		e, _ := l.config.FindRoute(cmd.Host, cmd.Path)
-		return Result{Code: code.OK, WaitingCount: l.waitingCount(e.Service, e.Class)}
+		return Result{Code: status.OK, WaitingCount: l.waitingCount(e.Service, e.Class)}
 	case KindReadConfig:
 		if l.config.Version == 0 {
-			return Result{Code: code.OK}
+			return Result{Code: status.OK}
 		}
 		p := l.config
-		return Result{Code: code.OK, Config: &p, ConfigVersion: p.Version}
+		return Result{Code: status.OK, Config: &p, ConfigVersion: p.Version}
 	case KindReadRequest:
 		if known, ok := l.rememberedRequest(cmd.Name); ok {
 			return known.Result
 		}
-		return reject(code.UnknownName, "no write with the key %s", cmd.Name)
+		return reject(status.UnknownName, "no write with the key %s", cmd.Name)
 	}
-	return Result{Code: code.OK, ConfigVersion: l.config.Version}
+	return Result{Code: status.OK, ConfigVersion: l.config.Version}
 }
 
 // waitingOf counts the tasks of a class that wait for a turn.
--- a/core/ledger/records_test.go
+++ b/core/state/records_test.go
@@ -1,4 +1,4 @@
-package ledger
+package state
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"slices"
 	"testing"
 
+	"sorrelloom/core/config"
 	"sorrelloom/core/goldentest"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
 )
 
 // recordings are the records as commit 40d3d2c encoded them. They stand on disks and
@@ -19,7 +19,7 @@
 // recordTypes are the values of the records of each bucket, and the audit's entries.
 var recordTypes = map[string]any{
 	"job": Job{}, "task": Task{}, "worker": Worker{}, "site": true, "duty": Leadership{}, "daemon": Scheduler{},
-	"request": Request{}, "past": PastJob{}, "meta": metadata{}, "meta-plan": plan.Config{}, "audit-entry": AuditEntry{},
+	"request": Request{}, "past": PastJob{}, "meta": metadata{}, "meta-plan": config.Config{}, "audit-entry": AuditEntry{},
 }
 
 func TestRecordsAreEncodedAsRecorded(t *testing.T) {
--- a/core/ledger/renewal.go
+++ b/core/state/renewal.go
@@ -3,13 +3,14 @@
 // heard since its last renewal with one command. A report that does change
 // something is reduced to its changes before it becomes a command, so that the
 // command does not grow with all that the worker runs.
-package ledger
+
+package state
 
 import (
 	"slices"
 	"time"
 
-	"sorrelloom/core/code"
+	"sorrelloom/core/status"
 )
 
 // Renewal extends one worker's lease.
@@ -53,7 +54,7 @@
 			l.changes = append(l.changes, Change{Worker: r.Worker})
 		}
 	}
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // Reduce compares a report with the ledger. Without changes nothing but the
--- a/core/ledger/renewal_test.go
+++ b/core/state/renewal_test.go
@@ -1,6 +1,7 @@
 // Calm and reduced reports: which are calm, and that the ledger stands after a
 // reduced report or a renewal as it would after the whole report.
-package ledger_test
+
+package state_test
 
 import (
 	"fmt"
@@ -12,55 +13,55 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"sorrelloom/core/ledger"
-	"sorrelloom/core/ledgertest"
+	"sorrelloom/core/state"
+	"sorrelloom/core/statetest"
 )
 
-func room(slots int) ledger.Resources { return ledger.Resources{Slots: slots, Cores: 64} }
+func room(slots int) state.Resources { return state.Resources{Slots: slots, Cores: 64} }
 
-func reportOf(number uint64, running ...ledger.Attempt) ledger.Heartbeat {
-	return ledger.Heartbeat{Worker: "w", Incarnation: 1, Number: number, Zone: "a", Service: "tickets", Labels: []string{"ssd"},
+func reportOf(number uint64, running ...state.Attempt) state.Heartbeat {
+	return state.Heartbeat{Worker: "w", Incarnation: 1, Number: number, Zone: "a", Service: "tickets", Labels: []string{"ssd"},
 		Free: room(8), Total: room(8), Running: running}
 }
 
 func TestReportsThatChangeNothingAreCalm(t *testing.T) {
-	first, second := ledger.Attempt{Job: "j", Task: "a", Number: 1}, ledger.Attempt{Job: "j", Task: "b", Number: 1}
+	first, second := state.Attempt{Job: "j", Task: "a", Number: 1}, state.Attempt{Job: "j", Task: "b", Number: 1}
 	table := []struct {
 		name   string
-		change func(*ledger.Heartbeat)
+		change func(*state.Heartbeat)
 		calm   bool
 	}{
-		{"nothing", func(*ledger.Heartbeat) {}, true},
-		{"the time it leaves in", func(b *ledger.Heartbeat) { b.LeavesIn = 0 }, true},
-		{"a run has ended", func(b *ledger.Heartbeat) { b.Ended = []ledger.AttemptResult{{Attempt: first, Succeeded: true}} }, false},
-		{"a run is not listed", func(b *ledger.Heartbeat) { b.Running = nil }, false},
-		{"a granted run is listed", func(b *ledger.Heartbeat) { b.Running = append(b.Running, second) }, false},
-		{"a granted run is not listed by the second report", func(b *ledger.Heartbeat) { b.Number++ }, false},
-		{"an unknown run", func(b *ledger.Heartbeat) {
-			b.Running = append(b.Running, ledger.Attempt{Job: "other", Task: "a", Number: 1})
+		{"nothing", func(*state.Heartbeat) {}, true},
+		{"the time it leaves in", func(b *state.Heartbeat) { b.LeavesIn = 0 }, true},
+		{"a run has ended", func(b *state.Heartbeat) { b.Ended = []state.AttemptResult{{Attempt: first, Succeeded: true}} }, false},
+		{"a run is not listed", func(b *state.Heartbeat) { b.Running = nil }, false},
+		{"a granted run is listed", func(b *state.Heartbeat) { b.Running = append(b.Running, second) }, false},
+		{"a granted run is not listed by the second report", func(b *state.Heartbeat) { b.Number++ }, false},
+		{"an unknown run", func(b *state.Heartbeat) {
+			b.Running = append(b.Running, state.Attempt{Job: "other", Task: "a", Number: 1})
 		}, false},
-		{"an older try", func(b *ledger.Heartbeat) { b.Running[0].Number = 9 }, false},
-		{"room", func(b *ledger.Heartbeat) { b.Free.Slots-- }, false},
-		{"total room", func(b *ledger.Heartbeat) { b.Total.Slots-- }, false},
-		{"no total room", func(b *ledger.Heartbeat) { b.Total = ledger.Resources{} }, false},
-		{"it leaves", func(b *ledger.Heartbeat) { b.Leaving = true }, false},
-		{"progress", func(b *ledger.Heartbeat) { b.Progress = []ledger.Progress{{Attempt: first, Checkpoint: "x"}} }, false},
-		{"site", func(b *ledger.Heartbeat) { b.Zone = "b" }, false},
-		{"rack", func(b *ledger.Heartbeat) { b.Rack = "r" }, false},
-		{"address", func(b *ledger.Heartbeat) { b.Address = "x" }, false},
-		{"service", func(b *ledger.Heartbeat) { b.Service = "podcasts" }, false},
-		{"labels", func(b *ledger.Heartbeat) { b.Labels = nil }, false},
-		{"incarnation", func(b *ledger.Heartbeat) { b.Incarnation++ }, false},
-		{"an earlier number", func(b *ledger.Heartbeat) { b.Number = 1 }, false},
-		{"another worker", func(b *ledger.Heartbeat) { b.Worker = "v" }, false},
+		{"an older try", func(b *state.Heartbeat) { b.Running[0].Number = 9 }, false},
+		{"room", func(b *state.Heartbeat) { b.Free.Slots-- }, false},
+		{"total room", func(b *state.Heartbeat) { b.Total.Slots-- }, false},
+		{"no total room", func(b *state.Heartbeat) { b.Total = state.Resources{} }, false},
+		{"it leaves", func(b *state.Heartbeat) { b.Leaving = true }, false},
+		{"progress", func(b *state.Heartbeat) { b.Progress = []state.Progress{{Attempt: first, Checkpoint: "x"}} }, false},
+		{"site", func(b *state.Heartbeat) { b.Zone = "b" }, false},
+		{"rack", func(b *state.Heartbeat) { b.Rack = "r" }, false},
+		{"address", func(b *state.Heartbeat) { b.Address = "x" }, false},
+		{"service", func(b *state.Heartbeat) { b.Service = "podcasts" }, false},
+		{"labels", func(b *state.Heartbeat) { b.Labels = nil }, false},
+		{"incarnation", func(b *state.Heartbeat) { b.Incarnation++ }, false},
+		{"an earlier number", func(b *state.Heartbeat) { b.Number = 1 }, false},
+		{"another worker", func(b *state.Heartbeat) { b.Worker = "v" }, false},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
-			w := ledgertest.New(t)
-			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+			w := statetest.New(t)
+			w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(1)})
 			w.AcceptJob("j", "quick", "a", "b")
 			w.Grant("j/a@w")
-			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(2, first)})
+			w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(2, first)})
 			w.Grant("j/b@w")
 			b := reportOf(3, first)
 			row.change(&b)
@@ -92,14 +93,14 @@
 		{"more, where a turn that it had not listed takes it", 6, 7, true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := ledgertest.New(t)
-			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+			w := statetest.New(t)
+			w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(1)})
 			w.AcceptJob("j", "quick", "a", "b")
 			w.Grant("j/a@w")
-			running := ledger.Attempt{Job: "j", Task: "a", Number: 1}
+			running := state.Attempt{Job: "j", Task: "a", Number: 1}
 			b := reportOf(2, running)
 			b.Free = room(row.was)
-			w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
+			w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: b})
 			if row.wasUnheard {
 				w.Grant("j/b@w")
 			}
@@ -113,11 +114,11 @@
 
 // TestAStrayThatEndsIsAChange has a worker list, and then no more, what it has no turn for.
 func TestAStrayThatEndsIsAChange(t *testing.T) {
-	w := ledgertest.New(t)
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	w := statetest.New(t)
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(1)})
 	w.AcceptJob("g", "batch", "x[g]")
-	stray := ledger.Attempt{Job: "g", Task: "x", Number: 1}
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(2, stray)})
+	stray := state.Attempt{Job: "g", Task: "x", Number: 1}
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(2, stray)})
 	if _, changes := w.Store.ReduceHeartbeat(reportOf(3)); !changes {
 		t.Error("a stray that has ended is no change")
 	}
@@ -129,11 +130,11 @@
 func TestAReducedReportDoesAsTheWholeOne(t *testing.T) {
 	calm, reduced := 0, 0
 	for seed := range uint64(30) {
-		whole, brief := ledgertest.New(t), ledgertest.New(t)
+		whole, brief := statetest.New(t), statetest.New(t)
 		chance := rand.New(rand.NewPCG(seed, 1))
-		var attempts []ledger.Attempt
+		var attempts []state.Attempt
 		numbers := map[string]uint64{}
-		both := func(cmd ledger.Command) {
+		both := func(cmd state.Command) {
 			if a, b := whole.Apply(cmd), brief.Apply(cmd); a.Code != b.Code {
 				t.Fatalf("seed %d: %s is answered %s and %s", seed, cmd.Kind, a.Code, b.Code)
 			}
@@ -142,28 +143,28 @@
 			worker := fmt.Sprintf("w%d", chance.IntN(2))
 			switch chance.IntN(9) {
 			case 0:
-				both(ledger.Command{
-					Kind: ledger.KindAcceptJob,
-					Job:  ledgertest.JobSpec(fmt.Sprintf("j%d", step), "quick", "a", "b<a", "x[g]", "y[g]"),
+				both(state.Command{
+					Kind: state.KindAcceptJob,
+					Job:  statetest.JobSpec(fmt.Sprintf("j%d", step), "quick", "a", "b<a", "x[g]", "y[g]"),
 				})
 			case 1, 2:
 				job, task := fmt.Sprintf("j%d", chance.IntN(step+1)), []string{"a", "b"}[chance.IntN(2)]
-				grant := ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{
+				grant := state.Grant{Leadership: statetest.Leadership, Epoch: 1, Assignments: []state.Assignment{
 					{Job: job, Task: task, Worker: worker, HeartbeatNumber: numbers[worker]},
 				}}
-				both(ledger.Command{Kind: ledger.KindGrantLeases, Grant: grant})
-				attempts = append(attempts, ledger.Attempt{Job: job, Task: task, Number: 1 + chance.IntN(2)})
+				both(state.Command{Kind: state.KindGrantLeases, Grant: grant})
+				attempts = append(attempts, state.Attempt{Job: job, Task: task, Number: 1 + chance.IntN(2)})
 			case 3:
 				whole.Now += time.Duration(chance.IntN(3)) * 700 * time.Millisecond
 				brief.Now = whole.Now
-				both(ledger.Command{Kind: ledger.KindTick})
+				both(state.Command{Kind: state.KindTick})
 			case 4:
 				if chance.IntN(4) == 0 {
-					both(ledger.Command{Kind: ledger.KindCancelJob, Name: fmt.Sprintf("j%d", chance.IntN(step+1))})
+					both(state.Command{Kind: state.KindCancelJob, Name: fmt.Sprintf("j%d", chance.IntN(step+1))})
 				}
 			default:
 				numbers[worker]++
-				b := ledger.Heartbeat{
+				b := state.Heartbeat{
 					Worker: worker, Incarnation: 1, Number: numbers[worker], Zone: "a", Service: "tickets",
 					Free: room(8), Total: room(8),
 				}
@@ -176,19 +177,19 @@
 					b.Running = append(b.Running, attempts[chance.IntN(len(attempts))])
 				}
 				if len(attempts) > 0 && chance.IntN(4) == 0 {
-					b.Ended = []ledger.AttemptResult{{Attempt: attempts[chance.IntN(len(attempts))], Succeeded: chance.IntN(2) == 0}}
+					b.Ended = []state.AttemptResult{{Attempt: attempts[chance.IntN(len(attempts))], Succeeded: chance.IntN(2) == 0}}
 				}
-				cmd := ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b}
+				cmd := state.Command{Kind: state.KindHeartbeat, Heartbeat: b}
 				var changes bool
 				if cmd.Heartbeat, changes = brief.Store.ReduceHeartbeat(b); !changes {
 					calm++
-					cmd = ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
+					cmd = state.Command{Kind: state.KindRenewWorkers, Renewals: []state.Renewal{
 						{Worker: worker, Incarnation: 1, Number: b.Number},
 					}}
 				} else if cmd.Heartbeat.Delta {
 					reduced++
 				}
-				want, got := whole.Apply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b}), brief.Apply(cmd)
+				want, got := whole.Apply(state.Command{Kind: state.KindHeartbeat, Heartbeat: b}), brief.Apply(cmd)
 				if diff := cmp.Diff(want.Heartbeat.Acks, got.Heartbeat.Acks); changes && diff != "" {
 					t.Fatalf("seed %d step %d: acks %s", seed, step, diff)
 				}
@@ -208,15 +209,15 @@
 }
 
 func TestARenewalExtendsLeases(t *testing.T) {
-	w := ledgertest.New(t)
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	w := statetest.New(t)
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(1)})
 	before, _ := w.Store.Worker("w")
 	w.Advance(2 * time.Second)
-	renewals := []ledger.Renewal{
+	renewals := []state.Renewal{
 		{Worker: "w", Incarnation: 1, Number: 5, Age: 300 * time.Millisecond},
 		{Worker: "unknown", Incarnation: 1, Number: 1},
 	}
-	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: renewals})
+	w.MustApply(state.Command{Kind: state.KindRenewWorkers, Renewals: renewals})
 	after, _ := w.Store.Worker("w")
 	if after.LastSeenAt != w.Now-300*time.Millisecond || after.LeaseExpiresAt != after.LastSeenAt+6*time.Second || after.Number != 5 {
 		t.Errorf("was %+v, is %+v at %s", before, after, w.Now)
@@ -224,7 +225,7 @@
 	if _, known := w.Store.Worker("unknown"); known {
 		t.Error("a renewal made a worker")
 	}
-	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
+	w.MustApply(state.Command{Kind: state.KindRenewWorkers, Renewals: []state.Renewal{
 		{Worker: "w", Incarnation: 1, Number: 4, Age: 4 * time.Second},
 	}})
 	if again, _ := w.Store.Worker("w"); again.LastSeenAt != after.LastSeenAt || again.LeaseExpiresAt != after.LeaseExpiresAt ||
@@ -237,29 +238,29 @@
 // TestALeaseIsLoadedFromASnapshot loads the records of each state that a lease goes
 // through, and finds no record of a worker that is forgotten.
 func TestALeaseIsLoadedFromASnapshot(t *testing.T) {
-	w := ledgertest.New(t)
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(1)})
+	w := statetest.New(t)
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(1)})
 	same(t, w.Store)
-	w.MustApply(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{{Worker: "w", Incarnation: 1, Number: 7}}})
+	w.MustApply(state.Command{Kind: state.KindRenewWorkers, Renewals: []state.Renewal{{Worker: "w", Incarnation: 1, Number: 7}}})
 	same(t, w.Store)
 	w.Advance(time.Second)
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: reportOf(8)})
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: reportOf(8)})
 	same(t, w.Store)
 	w.AcceptJob("j", "quick", "a")
-	grant := ledger.Grant{Leadership: ledgertest.Leadership, Epoch: 1, Assignments: []ledger.Assignment{
+	grant := state.Grant{Leadership: statetest.Leadership, Epoch: 1, Assignments: []state.Assignment{
 		{Job: "j", Task: "a", Worker: "w", HeartbeatNumber: 12},
 	}}
-	w.MustApply(ledger.Command{Kind: ledger.KindGrantLeases, Grant: grant})
+	w.MustApply(state.Command{Kind: state.KindGrantLeases, Grant: grant})
 	if turn := w.Store.LeasesOn("w")[0].Lease; turn.HeartbeatNumber != 12 {
 		t.Errorf("the turn was granted on report %d", turn.HeartbeatNumber)
 	}
 	same(t, w.Store)
 	again := reportOf(1)
 	again.Incarnation = 2
-	w.MustApply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: again})
+	w.MustApply(state.Command{Kind: state.KindHeartbeat, Heartbeat: again})
 	same(t, w.Store)
 	w.Advance(time.Hour)
-	w.MustApply(ledger.Command{Kind: ledger.KindTick})
+	w.MustApply(state.Command{Kind: state.KindTick})
 	same(t, w.Store)
 	for _, r := range w.Store.Records() {
 		if r.Bucket == "worker" {
--- a/core/ledger/steps.go
+++ b/core/state/steps.go
@@ -1,6 +1,7 @@
 // Jobs in steps, and where a task stands in its job: what it needs done before
 // it, which step and which due time it belongs to.
-package ledger
+
+package state
 
 import (
 	"fmt"
--- a/core/ledger/tail.go
+++ b/core/state/tail.go
@@ -1,6 +1,7 @@
 // The tail of a ledger: the last commands applied, encoded, so that a copy that
 // is a little behind can catch up without being copied whole.
-package ledger
+
+package state
 
 import (
 	"encoding/json"
--- a/core/ledger/tail_test.go
+++ b/core/state/tail_test.go
@@ -1,36 +1,36 @@
-package ledger_test
+package state_test
 
 import (
 	"testing"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
-func tailOf(epochs ...uint64) (tail ledger.LogSuffix, positions []ledger.LogPosition) {
-	base := ledger.LogPosition{Epoch: epochs[0], Index: 100}
-	tail = ledger.NewLogSuffix(base)
+func tailOf(epochs ...uint64) (tail state.LogSuffix, positions []state.LogPosition) {
+	base := state.LogPosition{Epoch: epochs[0], Index: 100}
+	tail = state.NewLogSuffix(base)
 	positions = append(positions, base)
 	for i, epoch := range epochs[1:] {
-		p := ledger.LogPosition{Epoch: epoch, Index: 101 + uint64(i)}
-		tail.Append(ledger.Encode(ledger.Command{LogPosition: p, Kind: ledger.KindTick}))
+		p := state.LogPosition{Epoch: epoch, Index: 101 + uint64(i)}
+		tail.Append(state.Encode(state.Command{LogPosition: p, Kind: state.KindTick}))
 		positions = append(positions, p)
 	}
 	return tail, positions
 }
 
 func TestATailIsBoundedInNumberAndBytes(t *testing.T) {
-	for _, row := range []struct{ size, count int }{{1, 5 * ledger.LogSuffixCommands}, {1 << 20, 100}} {
-		tail := ledger.NewLogSuffix(ledger.LogPosition{})
-		var newest ledger.LogPosition
+	for _, row := range []struct{ size, count int }{{1, 5 * state.LogSuffixCommands}, {1 << 20, 100}} {
+		tail := state.NewLogSuffix(state.LogPosition{})
+		var newest state.LogPosition
 		for i := range row.count {
-			newest = ledger.LogPosition{Epoch: 1, Index: uint64(i + 1)}
-			tail.Append(ledger.EncodedCommand{Command: ledger.Command{LogPosition: newest}, Encoded: make([]byte, row.size)})
+			newest = state.LogPosition{Epoch: 1, Index: uint64(i + 1)}
+			tail.Append(state.EncodedCommand{Command: state.Command{LogPosition: newest}, Encoded: make([]byte, row.size)})
 		}
 		kept, ok := tail.CommandsAfter(tail.Base())
-		if !ok || len(kept) > 2*ledger.LogSuffixCommands || len(kept)*row.size > 2*ledger.LogSuffixBytes {
+		if !ok || len(kept) > 2*state.LogSuffixCommands || len(kept)*row.size > 2*state.LogSuffixBytes {
 			t.Errorf("%d commands of %d bytes: %d are kept", row.count, row.size, len(kept))
 		}
-		if len(kept) < ledger.LogSuffixCommands && len(kept)*row.size < ledger.LogSuffixBytes {
+		if len(kept) < state.LogSuffixCommands && len(kept)*row.size < state.LogSuffixBytes {
 			t.Errorf("%d commands of %d bytes: only %d are kept", row.count, row.size, len(kept))
 		}
 		if rest, ok := tail.CommandsAfter(newest); !ok || len(rest) > 0 {
@@ -60,7 +60,7 @@
 	if _, _, ok := tail.Window(at[3], at[2], 10, 1000); ok {
 		t.Error("a window went backwards")
 	}
-	if _, _, ok := tail.Window(ledger.LogPosition{Epoch: 2, Index: 102}, at[5], 10, 1000); ok {
+	if _, _, ok := tail.Window(state.LogPosition{Epoch: 2, Index: 102}, at[5], 10, 1000); ok {
 		t.Error("a window began in another history")
 	}
 }
@@ -68,21 +68,21 @@
 func TestWhatTwoHistoriesCanHaveInCommon(t *testing.T) {
 	tail, at := tailOf(1, 1, 1, 3, 3)
 	for _, row := range []struct {
-		other ledger.LogPosition
+		other state.LogPosition
 		want  int
 	}{
-		{ledger.LogPosition{Epoch: 1, Index: 103}, 2},
-		{ledger.LogPosition{Epoch: 2, Index: 102}, 2},
-		{ledger.LogPosition{Epoch: 2, Index: 150}, 2},
-		{ledger.LogPosition{Epoch: 1, Index: 101}, 1},
-		{ledger.LogPosition{Epoch: 3, Index: 110}, 4},
-		{ledger.LogPosition{Epoch: 1, Index: 100}, 0},
+		{state.LogPosition{Epoch: 1, Index: 103}, 2},
+		{state.LogPosition{Epoch: 2, Index: 102}, 2},
+		{state.LogPosition{Epoch: 2, Index: 150}, 2},
+		{state.LogPosition{Epoch: 1, Index: 101}, 1},
+		{state.LogPosition{Epoch: 3, Index: 110}, 4},
+		{state.LogPosition{Epoch: 1, Index: 100}, 0},
 	} {
 		if got, ok := tail.LastPossiblyCommon(row.other); !ok || got != at[row.want] {
 			t.Errorf("%v: %v, %v, want %v", row.other, got, ok, at[row.want])
 		}
 	}
-	if got, ok := tail.LastPossiblyCommon(ledger.LogPosition{Epoch: 1, Index: 99}); ok {
+	if got, ok := tail.LastPossiblyCommon(state.LogPosition{Epoch: 1, Index: 99}); ok {
 		t.Errorf("before the tail: %v", got)
 	}
 	if dropped := tail.TruncateAfter(at[2]); dropped != 2 || tail.Contains(at[3]) || !tail.Contains(at[2]) {
--- a/core/ledger/turns.go
+++ b/core/state/turns.go
@@ -4,7 +4,8 @@
 // worker can have been told, and a margin have passed. Even then a task that may
 // have ended well is held for a word, unless its class or itself says restart. A
 // good end counts from any attempt.
-package ledger
+
+package state
 
 import (
 	"cmp"
@@ -12,8 +13,8 @@
 	"slices"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
 )
 
 const (
@@ -44,10 +45,10 @@
 func (l *Store) heartbeat(b Heartbeat) Result {
 	old, known := l.workers[b.Worker]
 	if b.Worker == "" || b.Incarnation <= 0 || b.Number == 0 || b.Free.Slots < 0 {
-		return reject(code.Malformed, "a beat needs worker, incarnation, number and free room")
+		return reject(status.Malformed, "a beat needs worker, incarnation, number and free room")
 	}
 	if known && (b.Incarnation < old.Incarnation || b.Incarnation == old.Incarnation && b.Number < old.Number) {
-		a := reject(code.StaleHeartbeat, "beat %d/%d came after %d/%d", b.Incarnation, b.Number, old.Incarnation, old.Number)
+		a := reject(status.StaleHeartbeat, "beat %d/%d came after %d/%d", b.Incarnation, b.Number, old.Incarnation, old.Number)
 		a.Heartbeat.Incarnation, a.Heartbeat.HeartbeatNumber = old.Incarnation, old.Number
 		return a
 	}
@@ -61,7 +62,7 @@
 		}
 	}
 	if b.Delta && (!known || b.Incarnation != old.Incarnation) {
-		return reject(code.Malformed, "a reduced beat needs a worker that is known in its incarnation")
+		return reject(status.Malformed, "a reduced beat needs a worker that is known in its incarnation")
 	}
 	if b.Delta {
 		b = old.withIdentity(b)
@@ -73,7 +74,7 @@
 	// What runs and what has ended is in the turns; a change is not kept.
 	w.Running, w.Ended, w.Progress, w.NotRunning, w.Delta = nil, nil, nil, nil, false
 	w.Capacity = b.Free
-	answer := Result{Code: code.OK}
+	answer := Result{Code: status.OK}
 	answer.Heartbeat.LeaseDuration = l.config.Limits.LeaseDuration.Duration
 	touched := map[string]bool{}
 	for _, end := range b.Ended {
@@ -187,7 +188,7 @@
 	if payload == nil {
 		payload = job.Spec.Payload
 	}
-	s := StartOrder{Attempt: l.attemptOf(at), Checkpoint: t.Checkpoint, Service: job.Spec.Service, Class: job.Spec.Class, Resources: spec.Resources, Gang: spec.Gang, RunLimit: plan.Duration{Duration: t.Lease.RunLimit}, Payload: payload}
+	s := StartOrder{Attempt: l.attemptOf(at), Checkpoint: t.Checkpoint, Service: job.Spec.Service, Class: job.Spec.Class, Resources: spec.Resources, Gang: spec.Gang, RunLimit: config.Duration{Duration: t.Lease.RunLimit}, Payload: payload}
 	if len(job.Spec.Steps) == 0 {
 		for _, i := range spec.Dependencies {
 			s.DependencyWorkers = append(s.DependencyWorkers, job.Tasks[i].CompletedOn)
@@ -337,26 +338,26 @@
 }
 
 // Fits checks the standing rules between a task and a worker, without room.
-func (l *Store) Fits(job Job, i int, w Worker) code.Code {
+func (l *Store) Fits(job Job, i int, w Worker) status.Code {
 	spec := job.Spec.Tasks[i]
 	if w.Service != job.Spec.Service {
-		return code.WorkerMismatch
+		return status.WorkerMismatch
 	}
 	for _, label := range spec.Labels {
 		if !slices.Contains(w.Labels, label) {
-			return code.WorkerMismatch
+			return status.WorkerMismatch
 		}
 	}
 	if w.Leaving || w.Drained {
-		return code.Draining
+		return status.Draining
 	}
 	if l.drainedZones[w.Zone] {
-		return code.ZoneDrained
+		return status.ZoneDrained
 	}
 	if !l.Live(w) {
-		return code.WorkerUnresponsive
+		return status.WorkerUnresponsive
 	}
-	return code.OK
+	return status.OK
 }
 
 func (l *Store) Live(w Worker) bool {
@@ -401,7 +402,7 @@
 		if n.labels != "" {
 			probe.Spec.Tasks[0].Labels = splitLabels(n.labels)
 		}
-		if l.Fits(probe, 0, w) == code.OK && w.Capacity.Covers(n.resources) {
+		if l.Fits(probe, 0, w) == status.OK && w.Capacity.Covers(n.resources) {
 			return true
 		}
 	}
@@ -427,7 +428,7 @@
 	if l.policies.AlwaysAllowsBorrowing() {
 		return true, true
 	}
-	names := plan.BorrowInput{
+	names := config.BorrowInput{
 		Total: b.Slots, Idle: idle, Requested: askedSlots, Used: used, Share: share,
 		Waiting: l.UnmetDemand(service, class), Class: class, Service: service,
 	}
@@ -437,48 +438,48 @@
 // grant gives turns for one task or one whole gang, all or none.
 func (l *Store) grantLeases(g Grant) Result {
 	if d := l.leaderships[g.Leadership]; d.Epoch != g.Epoch || g.Epoch == 0 {
-		return reject(code.StaleEpoch, "duty %s is at epoch %d, not %d", g.Leadership, d.Epoch, g.Epoch)
+		return reject(status.StaleEpoch, "duty %s is at epoch %d, not %d", g.Leadership, d.Epoch, g.Epoch)
 	}
 	if len(g.Assignments) == 0 {
-		return reject(code.Malformed, "nothing is picked")
+		return reject(status.Malformed, "nothing is picked")
 	}
 	taken, chosen := map[string]Resources{}, map[taskRef]string{}
 	slots, try, crowd := 0, 0, map[string]int{}
 	for _, p := range g.Assignments {
 		at, t, ok := l.findTask(Attempt{Job: p.Job, Task: p.Task})
 		if !ok {
-			return reject(code.UnknownJob, "no task %s/%s", p.Job, p.Task)
+			return reject(status.UnknownJob, "no task %s/%s", p.Job, p.Task)
 		}
 		if p.Job != g.Assignments[0].Job || chosen[at] != "" {
-			return reject(code.GangIncomplete, "one grant is one task or one gang")
+			return reject(status.GangIncomplete, "one grant is one task or one gang")
 		}
 		job := l.jobs[p.Job]
 		spec := job.Spec.Tasks[at.index]
 		switch {
 		case job.EndingState != "":
-			return reject(code.JobCancelled, "job %s is ending", p.Job)
+			return reject(status.JobCancelled, "job %s is ending", p.Job)
 		case t.State == Waiting:
-			return reject(code.DependenciesUnmet, "task %s/%s waits for others", p.Job, p.Task)
+			return reject(status.DependenciesUnmet, "task %s/%s waits for others", p.Job, p.Task)
 		case t.State != Ready || t.Lease.Held():
-			return reject(code.TaskNotPending, "task %s/%s is %s", p.Job, p.Task, t.State)
+			return reject(status.TaskNotPending, "task %s/%s is %s", p.Job, p.Task, t.State)
 		case t.DueAt > l.now:
-			return reject(code.DependenciesUnmet, "task %s/%s is due in %s", p.Job, p.Task, t.DueAt-l.now)
+			return reject(status.DependenciesUnmet, "task %s/%s is due in %s", p.Job, p.Task, t.DueAt-l.now)
 		case t.Failures >= spec.MaxFailures && !spec.LongRunning:
-			return reject(code.RetriesExhausted, "task %s/%s has %d defects", p.Job, p.Task, t.Failures)
+			return reject(status.RetriesExhausted, "task %s/%s has %d defects", p.Job, p.Task, t.Failures)
 		}
 		w, ok := l.workers[p.Worker]
 		if !ok {
-			return reject(code.UnknownName, "no worker %s", p.Worker)
+			return reject(status.UnknownName, "no worker %s", p.Worker)
 		}
-		if c := l.Fits(job, at.index, w); c != code.OK {
+		if c := l.Fits(job, at.index, w); c != status.OK {
 			return reject(c, "worker %s, task %s/%s", p.Worker, p.Job, p.Task)
 		}
 		taken[p.Worker] = taken[p.Worker].Add(spec.Resources)
 		if free := l.FreeResources(p.Worker); !free.Covers(taken[p.Worker]) {
-			return reject(code.InsufficientResources, "worker %s has %+v", p.Worker, free)
+			return reject(status.InsufficientResources, "worker %s has %+v", p.Worker, free)
 		}
 		if l.AtWorkerLimit(job, at.index, p.Worker, crowd[p.Worker]) {
-			return reject(code.SpreadExceeded, "worker %s has %d tasks of this step", p.Worker, spec.MaxPerWorker)
+			return reject(status.SpreadExceeded, "worker %s has %d tasks of this step", p.Worker, spec.MaxPerWorker)
 		}
 		crowd[p.Worker]++
 		chosen[at] = p.Worker
@@ -492,16 +493,16 @@
 		if gang != "" && spec.Gang == gang && job.Tasks[i].State != Done {
 			members++
 			if chosen[taskRef{job.Spec.ID, i}] == "" {
-				return reject(code.GangIncomplete, "task %s/%s is not in the grant", job.Spec.ID, spec.ID)
+				return reject(status.GangIncomplete, "task %s/%s is not in the grant", job.Spec.ID, spec.ID)
 			}
 		}
 	}
 	if len(g.Assignments) != max(members, 1) {
-		return reject(code.GangIncomplete, "one grant is one task or one gang")
+		return reject(status.GangIncomplete, "one grant is one task or one gang")
 	}
 	allowed, borrowed := l.CheckShare(job.Spec.Service, job.Spec.Class, slots, nil)
 	if !allowed {
-		return reject(code.QuotaExceeded, "class %s may not take %d slots more", job.Spec.Class, slots)
+		return reject(status.QuotaExceeded, "class %s may not take %d slots more", job.Spec.Class, slots)
 	}
 	saved, percent := l.gangCheckpoint(job, g.Assignments)
 	for _, p := range g.Assignments {
@@ -519,7 +520,7 @@
 		l.setTask(at, t)
 		l.recordDecision(Decision{Kind: "grant", Job: p.Job, Task: p.Task, AttemptNumber: t.Attempts, Worker: p.Worker})
 	}
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 // gangSaved is what all members of a gang go on from: what one of them has saved
@@ -538,18 +539,18 @@
 // or any that is not quick for a quick task that waits within its class's share.
 func (l *Store) preempt(g Grant) Result {
 	if d := l.leaderships[g.Leadership]; d.Epoch != g.Epoch || g.Epoch == 0 {
-		return reject(code.StaleEpoch, "duty %s is at epoch %d, not %d", g.Leadership, d.Epoch, g.Epoch)
+		return reject(status.StaleEpoch, "duty %s is at epoch %d, not %d", g.Leadership, d.Epoch, g.Epoch)
 	}
 	for _, p := range g.Assignments {
 		at, t, ok := l.findTask(Attempt{Job: p.Job, Task: p.Task})
 		if !ok || !t.Lease.Held() || t.Lease.StopReason != "" || t.Lease.Worker != p.Worker || !t.Lease.Borrowed && (l.isQuick(l.jobs[p.Job].Spec) || !l.quickTaskWaits(g.PreemptFor, p.Worker)) {
-			return reject(code.TaskNotPending, "task %s/%s holds no turn that may be pushed out", p.Job, p.Task)
+			return reject(status.TaskNotPending, "task %s/%s holds no turn that may be pushed out", p.Job, p.Task)
 		}
 		t.Lease.StopReason = "pushed out for " + g.PreemptFor.Job + "/" + g.PreemptFor.Task
 		l.recordDecision(Decision{Kind: "push-out", Job: p.Job, Task: p.Task, AttemptNumber: t.Lease.AttemptNumber, Worker: p.Worker})
 		l.setTask(at, t)
 	}
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
 
 func (l *Store) isQuick(spec JobSpec) bool {
@@ -565,7 +566,7 @@
 	}
 	job := l.jobs[p.Job]
 	usedSlots, shareSlots := l.ClassUse(job.Spec.Service, job.Spec.Class)
-	return usedSlots+job.Spec.Tasks[at.index].Resources.Slots <= shareSlots && l.Fits(job, at.index, l.workers[worker]) == code.OK
+	return usedSlots+job.Spec.Tasks[at.index].Resources.Slots <= shareSlots && l.Fits(job, at.index, l.workers[worker]) == status.OK
 }
 
 // startWithin is how long after a beat a worker takes starts from its reply.
@@ -602,7 +603,7 @@
 	if silence == "" {
 		silence = l.config.Services[job.Spec.Service].Classes[job.Spec.Class].LostWorkerPolicy
 	}
-	return t.Lease.Held() && !t.Terminal() && silence != plan.RestartOnLostWorker && t.Lease.OrphanUntil == 0 && !l.workers[t.Lease.Worker].ConfirmedDead
+	return t.Lease.Held() && !t.Terminal() && silence != config.RestartOnLostWorker && t.Lease.OrphanUntil == 0 && !l.workers[t.Lease.Worker].ConfirmedDead
 }
 
 type timedAction struct {
@@ -743,5 +744,5 @@
 			l.makeTasksReady(d.job)
 		}
 	}
-	return Result{Code: code.OK}
+	return Result{Code: status.OK}
 }
--- a/core/ledger/types.go
+++ b/core/state/types.go
@@ -1,7 +1,8 @@
 // The records of the ledger and the commands that change them. All of them are
 // plain values that travel as JSON; times are monotonic ledger time, counted
 // from the founding of the cluster and carried on by each primary.
-package ledger
+
+package state
 
 import (
 	"cmp"
@@ -9,11 +10,11 @@
 	"fmt"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
 )
 
-type Resources = plan.Resources
+type Resources = config.Resources
 
 // TaskSpec is one task as the caller asked for it.
 type TaskSpec struct {
@@ -22,7 +23,7 @@
 	Resources        Resources       `json:"room"`
 	Labels           []string        `json:"labels,omitempty"`
 	Gang             string          `json:"gang,omitempty"`
-	RunLimit         plan.Duration   `json:"runLimit,omitzero"`
+	RunLimit         config.Duration `json:"runLimit,omitzero"`
 	MaxFailures      int             `json:"allowedDefects,omitempty"`
 	LostWorkerPolicy string          `json:"silence,omitempty"`
 	Payload          json.RawMessage `json:"payload,omitempty"`
@@ -37,7 +38,7 @@
 // Placing is what a task asks for besides room and labels.
 type Placement struct {
 	// Guess is roughly how long a run takes.
-	ExpectedRunTime plan.Duration `json:"guess,omitzero"`
+	ExpectedRunTime config.Duration `json:"guess,omitzero"`
 	// NearRack is the rack that holds the data; any other will do, but slower.
 	PreferredRack string `json:"nearRack,omitempty"`
 	// SameRack asks for a gang on one rack; spread it runs too, but slower.
@@ -67,9 +68,9 @@
 
 // Repeat has the steps run Count times; time T is due at FirstAt + T*Every.
 type Repeat struct {
-	Count   int           `json:"count"`
-	FirstAt time.Time     `json:"firstAt"`
-	Every   plan.Duration `json:"every"`
+	Count   int             `json:"count"`
+	FirstAt time.Time       `json:"firstAt"`
+	Every   config.Duration `json:"every"`
 }
 
 // JobSpec names its tasks one by one or as steps. Host and Path, where set,
@@ -80,7 +81,7 @@
 	Path     string          `json:"path,omitempty"`
 	Service  string          `json:"service"`
 	Class    string          `json:"class"`
-	Deadline plan.Duration   `json:"cutoff,omitzero"`
+	Deadline config.Duration `json:"cutoff,omitzero"`
 	Payload  json.RawMessage `json:"payload,omitempty"`
 	Steps    []StepSpec      `json:"steps,omitempty"`
 	Repeat   Repeat          `json:"repeat,omitzero"`
@@ -363,7 +364,7 @@
 	Class             string          `json:"class"`
 	Resources         Resources       `json:"room"`
 	Gang              string          `json:"gang,omitempty"`
-	RunLimit          plan.Duration   `json:"runLimit,omitzero"`
+	RunLimit          config.Duration `json:"runLimit,omitzero"`
 	DependencyWorkers []string        `json:"holders,omitempty"`
 	Payload           json.RawMessage `json:"payload,omitempty"`
 	Checkpoint        string          `json:"saved,omitempty"`
@@ -383,22 +384,22 @@
 
 // Answer is the end of a command. Count and Plan answer reads.
 type Result struct {
-	Code          code.Code        `json:"code"`
-	Reason        string           `json:"why,omitempty"`
-	ConfigVersion uint64           `json:"sequence,omitempty"`
-	RetryAfter    time.Duration    `json:"retryAfter,omitempty"`
-	Heartbeat     HeartbeatReply   `json:"orders,omitzero"`
-	Job           Job              `json:"job,omitzero"`
-	Violations    []plan.Violation `json:"faults,omitempty"`
-	WaitingCount  int              `json:"count,omitempty"`
-	Config        *plan.Config     `json:"plan,omitempty"`
+	Code          status.Code        `json:"code"`
+	Reason        string             `json:"why,omitempty"`
+	ConfigVersion uint64             `json:"sequence,omitempty"`
+	RetryAfter    time.Duration      `json:"retryAfter,omitempty"`
+	Heartbeat     HeartbeatReply     `json:"orders,omitzero"`
+	Job           Job                `json:"job,omitzero"`
+	Violations    []config.Violation `json:"faults,omitempty"`
+	WaitingCount  int                `json:"count,omitempty"`
+	Config        *config.Config     `json:"plan,omitempty"`
 	// Time and Proven, in a proof, are the ledger's time and the sequence up to which
 	// the leader has committed everything.
 	Time           time.Duration `json:"time,omitempty"`
 	ConfirmedIndex uint64        `json:"proven,omitempty"`
 }
 
-func reject(c code.Code, format string, args ...any) Result {
+func reject(c status.Code, format string, args ...any) Result {
 	return Result{Code: c, Reason: fmt.Sprintf(format, args...)}
 }
 
--- a/core/ledger/views.go
+++ b/core/state/views.go
@@ -1,5 +1,6 @@
 // What others may see of a ledger: copies of records, never the maps behind.
-package ledger
+
+package state
 
 import (
 	"maps"
--- a/core/ledger/workers.go
+++ b/core/state/workers.go
@@ -1,5 +1,6 @@
 // The workers of a ledger, by name and in order.
-package ledger
+
+package state
 
 import (
 	"cmp"
--- a/core/ledgertest/ledgertest.go
+++ b/core/statetest/ledgertest.go
@@ -1,6 +1,6 @@
-// Package ledgertest builds small ledgers for tests: a plan with two services,
+// Package statetest builds small ledgers for tests: a plan with two services,
 // workers by name, jobs by a short notation, and commands with growing time.
-package ledgertest
+package statetest
 
 import (
 	"reflect"
@@ -11,9 +11,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 )
 
 const Config = `{"services":{
@@ -33,9 +33,9 @@
 // World is a ledger with its clock.
 type Fixture struct {
 	T            *testing.T
-	Store        *ledger.Store
+	Store        *state.Store
 	Now          time.Duration
-	heartbeats   map[string]ledger.Heartbeat
+	heartbeats   map[string]state.Heartbeat
 	commandCount int
 }
 
@@ -43,18 +43,18 @@
 
 // New founds a ledger with the plan and the duty at epoch 1.
 func New(t *testing.T) *Fixture {
-	w := &Fixture{T: t, Store: ledger.New(), Now: time.Second, heartbeats: map[string]ledger.Heartbeat{}}
-	w.MustApply(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Body: []byte(Config)}})
-	w.MustApply(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: Leadership, Candidate: "s1"}})
+	w := &Fixture{T: t, Store: state.New(), Now: time.Second, heartbeats: map[string]state.Heartbeat{}}
+	w.MustApply(state.Command{Kind: state.KindChangeConfig, ConfigChange: state.ConfigChange{Body: []byte(Config)}})
+	w.MustApply(state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: state.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: Leadership, Candidate: "s1"}})
 	return w
 }
 
 // Do applies a command one millisecond later. A capture of the ledger before it must
 // stay as it was, and a copy that takes the encoded command must become the same.
-func (w *Fixture) Apply(cmd ledger.Command) ledger.Result {
+func (w *Fixture) Apply(cmd state.Command) state.Result {
 	w.T.Helper()
 	w.Now += time.Millisecond
-	cmd.Time, cmd.LogPosition = w.Now, ledger.LogPosition{Epoch: 1, Index: w.Store.Position().Index + 1}
+	cmd.Time, cmd.LogPosition = w.Now, state.LogPosition{Epoch: 1, Index: w.Store.Position().Index + 1}
 	if w.commandCount++; w.commandCount > alwaysChecked && w.commandCount%checkInterval != 0 {
 		return w.Store.Apply(cmd)
 	}
@@ -70,13 +70,13 @@
 	return answer
 }
 
-func (w *Fixture) replay(before []machine.Record, cmd ledger.Command) {
+func (w *Fixture) replay(before []machine.Record, cmd state.Command) {
 	w.T.Helper()
-	copied, err := ledger.Load(before)
+	copied, err := state.Load(before)
 	if err != nil {
 		w.T.Fatal(err)
 	}
-	logged, err := ledger.Decode(ledger.Encode(cmd).Encoded)
+	logged, err := state.Decode(state.Encode(cmd).Encoded)
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *Fixture) MustApply(cmd ledger.Command) ledger.Result {
+func (w *Fixture) MustApply(cmd state.Command) state.Result {
 	w.T.Helper()
 	a := w.Apply(cmd)
 	if !a.Code.IsSuccess() {
@@ -103,32 +103,32 @@
 		service, id = s, rest
 	}
 	parts := strings.Split(id, "+")
-	w.heartbeats[parts[0]] = ledger.Heartbeat{Worker: parts[0], Incarnation: 1, Zone: "a", Service: service, Labels: parts[1:], Free: ledger.Resources{Slots: slots, Cores: 64}}
+	w.heartbeats[parts[0]] = state.Heartbeat{Worker: parts[0], Incarnation: 1, Zone: "a", Service: service, Labels: parts[1:], Free: state.Resources{Slots: slots, Cores: 64}}
 	w.Heartbeat(parts[0], nil)
 }
 
 // Beat sends a worker's next beat, changed as asked.
-func (w *Fixture) Heartbeat(id string, change func(*ledger.Heartbeat)) ledger.Result {
+func (w *Fixture) Heartbeat(id string, change func(*state.Heartbeat)) state.Result {
 	b := w.heartbeats[id]
 	b.Number++
-	b.Ended, b.Running = nil, append([]ledger.Attempt(nil), b.Running...)
+	b.Ended, b.Running = nil, append([]state.Attempt(nil), b.Running...)
 	if change != nil {
 		change(&b)
 	}
 	w.heartbeats[id] = b
-	return w.Apply(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
+	return w.Apply(state.Command{Kind: state.KindHeartbeat, Heartbeat: b})
 }
 
 // Job accepts a job. Tasks are written "b<a:2" for b after a with 2 slots; a
 // gang stands in brackets, "x[g]", labels after a plus sign.
-func (w *Fixture) AcceptJob(id, class string, tasks ...string) ledger.Result {
-	return w.Apply(ledger.Command{Kind: ledger.KindAcceptJob, Job: JobSpec(id, class, tasks...)})
+func (w *Fixture) AcceptJob(id, class string, tasks ...string) state.Result {
+	return w.Apply(state.Command{Kind: state.KindAcceptJob, Job: JobSpec(id, class, tasks...)})
 }
 
-func JobSpec(id, class string, tasks ...string) ledger.JobSpec {
-	spec := ledger.JobSpec{ID: id, Service: "tickets", Class: class}
+func JobSpec(id, class string, tasks ...string) state.JobSpec {
+	spec := state.JobSpec{ID: id, Service: "tickets", Class: class}
 	for _, text := range tasks {
-		t := ledger.TaskSpec{Resources: ledger.Resources{Slots: 1}}
+		t := state.TaskSpec{Resources: state.Resources{Slots: 1}}
 		if before, slots, ok := strings.Cut(text, ":"); ok {
 			text, t.Resources.Slots = before, int(slots[0]-'0')
 		}
@@ -148,39 +148,39 @@
 }
 
 // Grant asks for turns, "job/task@worker" each, under the current duty.
-func (w *Fixture) Grant(picks ...string) code.Code {
-	g := ledger.Grant{Leadership: Leadership, Epoch: w.Store.Leadership(Leadership).Epoch}
+func (w *Fixture) Grant(picks ...string) status.Code {
+	g := state.Grant{Leadership: Leadership, Epoch: w.Store.Leadership(Leadership).Epoch}
 	for _, text := range picks {
 		at, worker, _ := strings.Cut(text, "@")
 		job, task, _ := strings.Cut(at, "/")
-		g.Assignments = append(g.Assignments, ledger.Assignment{Job: job, Task: task, Worker: worker})
+		g.Assignments = append(g.Assignments, state.Assignment{Job: job, Task: task, Worker: worker})
 	}
-	return w.Apply(ledger.Command{Kind: ledger.KindGrantLeases, Grant: g}).Code
+	return w.Apply(state.Command{Kind: state.KindGrantLeases, Grant: g}).Code
 }
 
 // Start grants one task and has the worker list it as running.
-func (w *Fixture) StartTask(pick string) ledger.Attempt {
+func (w *Fixture) StartTask(pick string) state.Attempt {
 	w.T.Helper()
-	if c := w.Grant(pick); c != code.OK {
+	if c := w.Grant(pick); c != status.OK {
 		w.T.Fatalf("grant %s: %v", pick, c)
 	}
 	at, worker, _ := strings.Cut(pick, "@")
 	job, task, _ := strings.Cut(at, "/")
-	a := ledger.Attempt{Job: job, Task: task, Number: w.Task(at).Lease.AttemptNumber}
-	w.Heartbeat(worker, func(b *ledger.Heartbeat) { b.Running = append(b.Running, a); b.Free.Slots-- })
+	a := state.Attempt{Job: job, Task: task, Number: w.Task(at).Lease.AttemptNumber}
+	w.Heartbeat(worker, func(b *state.Heartbeat) { b.Running = append(b.Running, a); b.Free.Slots-- })
 	return a
 }
 
 // End has the worker report an attempt's end.
-func (w *Fixture) EndAttempt(worker string, end ledger.AttemptResult) ledger.Result {
-	return w.Heartbeat(worker, func(b *ledger.Heartbeat) {
-		var left []ledger.Attempt
+func (w *Fixture) EndAttempt(worker string, end state.AttemptResult) state.Result {
+	return w.Heartbeat(worker, func(b *state.Heartbeat) {
+		var left []state.Attempt
 		for _, a := range b.Running {
 			if a != end.Attempt {
 				left = append(left, a)
 			}
 		}
-		b.Running, b.Ended = left, []ledger.AttemptResult{end}
+		b.Running, b.Ended = left, []state.AttemptResult{end}
 		b.Free.Slots++
 	})
 }
@@ -189,11 +189,11 @@
 func (w *Fixture) FinishTask(pick string) {
 	w.T.Helper()
 	_, worker, _ := strings.Cut(pick, "@")
-	w.EndAttempt(worker, ledger.AttemptResult{Attempt: w.StartTask(pick), Succeeded: true})
+	w.EndAttempt(worker, state.AttemptResult{Attempt: w.StartTask(pick), Succeeded: true})
 }
 
 // Task looks a task up by "job/task".
-func (w *Fixture) Task(at string) ledger.Task {
+func (w *Fixture) Task(at string) state.Task {
 	w.T.Helper()
 	id, task, _ := strings.Cut(at, "/")
 	job, _ := w.Store.Job(id)
@@ -203,11 +203,11 @@
 		}
 	}
 	w.T.Fatalf("no task %s", at)
-	return ledger.Task{}
+	return state.Task{}
 }
 
 // Pass lets time go by and ticks.
 func (w *Fixture) Advance(d time.Duration) {
 	w.Now += d
-	w.Apply(ledger.Command{Kind: ledger.KindTick})
+	w.Apply(state.Command{Kind: state.KindTick})
 }
--- a/core/code/code.go
+++ b/core/status/code.go
@@ -1,8 +1,8 @@
-// Package code holds the numbered result codes that every answer of the
+// Package status holds the numbered result codes that every answer of the
 // system carries, inside and outside. The number is stable for ever, the HTTP
 // status is what a caller over HTTP sees with it. docs/codes.md is the table
 // for people; a test keeps the two the same.
-package code
+package status
 
 import "fmt"
 
--- a/core/code/code_test.go
+++ b/core/status/code_test.go
@@ -1,4 +1,4 @@
-package code
+package status
 
 import (
 	"fmt"
--- a/core/wire/encoding_test.go
+++ b/core/wire/encoding_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/state"
 )
 
 // bodies are one of each type that travels between processes.
@@ -56,7 +56,7 @@
 }
 
 func TestADamagedBodyIsRefused(t *testing.T) {
-	data := machine.MustMarshal(HeartbeatRequest{ID: 7, Heartbeat: ledger.Heartbeat{Worker: "w"}})
+	data := machine.MustMarshal(HeartbeatRequest{ID: 7, Heartbeat: state.Heartbeat{Worker: "w"}})
 	for length := range data {
 		var got HeartbeatRequest
 		if err := machine.Unmarshal(data[:length], &got); err == nil {
@@ -85,7 +85,7 @@
 	case *json.RawMessage:
 		*value = json.RawMessage(`{"a":[1,"b"]}`)
 		return
-	case *plan.Duration:
+	case *config.Duration:
 		value.Duration = 90 * time.Second
 		return
 	}
@@ -139,7 +139,7 @@
 		{"Beat16", HeartbeatRequest{ID: 1 << 50, MaxWait: 500 * time.Millisecond, Heartbeat: heartbeatOf(16)}},
 		{"Replicate20", ReplicateRequest{
 			BootID: 1 << 60, View: viewOf(5), From: viewOf(5).Primary, SendID: 12345,
-			Previous: ledger.LogPosition{Epoch: 3, Index: 123456}, Commands: commandsOf(20),
+			Previous: state.LogPosition{Epoch: 3, Index: 123456}, Commands: commandsOf(20),
 		}},
 		{"CommandAccept", CommandRequest{ID: 1 << 50, Command: acceptCommand(1)}},
 	} {
@@ -167,14 +167,14 @@
 	}
 }
 
-func attempt(i int) ledger.Attempt {
-	return ledger.Attempt{Job: fmt.Sprintf("job-%06d", i), Task: fmt.Sprintf("0.1.%d", i), Number: 1}
+func attempt(i int) state.Attempt {
+	return state.Attempt{Job: fmt.Sprintf("job-%06d", i), Task: fmt.Sprintf("0.1.%d", i), Number: 1}
 }
 
-func heartbeatOf(running int) ledger.Heartbeat {
-	beat := ledger.Heartbeat{
+func heartbeatOf(running int) state.Heartbeat {
+	beat := state.Heartbeat{
 		Worker: "worker-017", Incarnation: 1764650000000, Number: 4711, Zone: "site-b", Rack: "r3", Service: "render",
-		Free: plan.Resources{Slots: 1000, MemoryMB: 4096}, Total: plan.Resources{Slots: 16000, MemoryMB: 65536},
+		Free: config.Resources{Slots: 1000, MemoryMB: 4096}, Total: config.Resources{Slots: 16000, MemoryMB: 65536},
 		Address: "10.0.0.17:7000",
 	}
 	for i := range running {
@@ -193,14 +193,14 @@
 	return view
 }
 
-func acceptCommand(i int) ledger.Command {
-	return ledger.Command{
-		LogPosition: ledger.LogPosition{Epoch: 3, Index: uint64(i)}, Time: time.Duration(i) * time.Second,
-		Kind: ledger.KindAcceptJob, Summary: true,
-		Job: ledger.JobSpec{
+func acceptCommand(i int) state.Command {
+	return state.Command{
+		LogPosition: state.LogPosition{Epoch: 3, Index: uint64(i)}, Time: time.Duration(i) * time.Second,
+		Kind: state.KindAcceptJob, Summary: true,
+		Job: state.JobSpec{
 			ID: fmt.Sprintf("job-%06d", i), Service: "render", Class: "batch",
 			Payload: json.RawMessage(`{"frame":17,"scene":"harbour"}`),
-			Steps:   []ledger.StepSpec{{Count: 8, Resources: plan.Resources{Slots: 1000, MemoryMB: 512}}},
+			Steps:   []state.StepSpec{{Count: 8, Resources: config.Resources{Slots: 1000, MemoryMB: 512}}},
 		},
 	}
 }
@@ -211,15 +211,15 @@
 	for i := range count {
 		switch command := acceptCommand(i); i % 3 {
 		case 0:
-			commands = append(commands, ledger.Encode(command).Encoded)
+			commands = append(commands, state.Encode(command).Encoded)
 		case 1:
-			command.Kind, command.Job = ledger.KindGrantLeases, ledger.JobSpec{}
-			pick := ledger.Assignment{Job: "job-000001", Task: "0.1.1", Worker: "worker-017"}
-			command.Grant = ledger.Grant{Leadership: "site-a", Epoch: 3, Assignments: []ledger.Assignment{pick}}
-			commands = append(commands, ledger.Encode(command).Encoded)
+			command.Kind, command.Job = state.KindGrantLeases, state.JobSpec{}
+			pick := state.Assignment{Job: "job-000001", Task: "0.1.1", Worker: "worker-017"}
+			command.Grant = state.Grant{Leadership: "site-a", Epoch: 3, Assignments: []state.Assignment{pick}}
+			commands = append(commands, state.Encode(command).Encoded)
 		default:
-			command.Kind, command.Job, command.Heartbeat = ledger.KindHeartbeat, ledger.JobSpec{}, heartbeatOf(4)
-			commands = append(commands, ledger.Encode(command).Encoded)
+			command.Kind, command.Job, command.Heartbeat = state.KindHeartbeat, state.JobSpec{}, heartbeatOf(4)
+			commands = append(commands, state.Encode(command).Encoded)
 		}
 	}
 	return commands
--- a/core/wire/wire.go
+++ b/core/wire/wire.go
@@ -7,8 +7,8 @@
 	"encoding/json"
 	"time"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 )
 
 const (
@@ -107,24 +107,24 @@
 // Boot names the process, so that an ack never reaches the next run of the same
 // keeper as its own.
 type ReplicateRequest struct {
-	BootID   uint64             `json:"boot"`
-	View     View               `json:"view"`
-	From     Member             `json:"from"`
-	SendID   uint64             `json:"token"`
-	Previous ledger.LogPosition `json:"after"`
-	Commands []json.RawMessage  `json:"commands,omitempty"`
+	BootID   uint64            `json:"boot"`
+	View     View              `json:"view"`
+	From     Member            `json:"from"`
+	SendID   uint64            `json:"token"`
+	Previous state.LogPosition `json:"after"`
+	Commands []json.RawMessage `json:"commands,omitempty"`
 	// Diverged is where the receiver stands, in another history than the sender's:
 	// it is to drop what it has after After.
-	DivergedAt ledger.LogPosition `json:"diverged,omitzero"`
+	DivergedAt state.LogPosition `json:"diverged,omitzero"`
 }
 
 type ReplicateAck struct {
-	BootID   uint64             `json:"boot"`
-	Epoch    uint64             `json:"epoch"`
-	From     Member             `json:"from"`
-	SendID   uint64             `json:"token"`
-	Position ledger.LogPosition `json:"at"`
-	OK       bool               `json:"good"`
+	BootID   uint64            `json:"boot"`
+	Epoch    uint64            `json:"epoch"`
+	From     Member            `json:"from"`
+	SendID   uint64            `json:"token"`
+	Position state.LogPosition `json:"at"`
+	OK       bool              `json:"good"`
 	// Whole says that the sender cannot go back to where its history diverged.
 	NeedsSnapshot bool `json:"whole,omitempty"`
 	// Stands says that the sender wants to lead the next epoch itself, so that in
@@ -139,14 +139,14 @@
 // for a replica that stands at For, which is not in the sender's tail: one that has
 // moved on since then must not go back.
 type SnapshotChunk struct {
-	BootID           uint64             `json:"boot"`
-	View             View               `json:"view"`
-	From             Member             `json:"from"`
-	SendID           uint64             `json:"token"`
-	ReceiverPosition ledger.LogPosition `json:"for"`
-	Position         ledger.LogPosition `json:"at"`
-	ChunkIndex       int                `json:"index"`
-	Records          json.RawMessage    `json:"records"`
+	BootID           uint64            `json:"boot"`
+	View             View              `json:"view"`
+	From             Member            `json:"from"`
+	SendID           uint64            `json:"token"`
+	ReceiverPosition state.LogPosition `json:"for"`
+	Position         state.LogPosition `json:"at"`
+	ChunkIndex       int               `json:"index"`
+	Records          json.RawMessage   `json:"records"`
 	// Last is the last chunk's, and Digest that of all chunks and the position.
 	Last   bool   `json:"last,omitempty"`
 	Digest string `json:"digest,omitempty"`
@@ -154,11 +154,11 @@
 
 // SnapshotAskBody asks for a chunk, which says that those before it are there.
 type SnapshotRequest struct {
-	BootID     uint64             `json:"boot"`
-	Epoch      uint64             `json:"epoch"`
-	From       Member             `json:"from"`
-	Position   ledger.LogPosition `json:"at"`
-	ChunkIndex int                `json:"index"`
+	BootID     uint64            `json:"boot"`
+	Epoch      uint64            `json:"epoch"`
+	From       Member            `json:"from"`
+	Position   state.LogPosition `json:"at"`
+	ChunkIndex int               `json:"index"`
 }
 
 // CommandBody asks a keeper for a command. An answer is of use to the sender for
@@ -166,57 +166,57 @@
 // as the sender reckons it, never too early. Zero stands for no bound. Resent says
 // that a copy of the command was sent before.
 type CommandRequest struct {
-	ID       uint64         `json:"id"`
-	ReadOnly bool           `json:"read,omitempty"`
-	Timeout  time.Duration  `json:"left,omitempty"`
-	Deadline time.Duration  `json:"deadline,omitempty"`
-	Retry    bool           `json:"resent,omitempty"`
-	Command  ledger.Command `json:"command"`
+	ID       uint64        `json:"id"`
+	ReadOnly bool          `json:"read,omitempty"`
+	Timeout  time.Duration `json:"left,omitempty"`
+	Deadline time.Duration `json:"deadline,omitempty"`
+	Retry    bool          `json:"resent,omitempty"`
+	Command  state.Command `json:"command"`
 }
 
 // CommandBackBody is a keeper's answer to a command. With Received set it is no
 // answer yet: a leader says at once that a question for its proof has arrived.
 type CommandReply struct {
-	ID           uint64        `json:"id"`
-	AppliedIndex uint64        `json:"at,omitempty"`
-	Received     bool          `json:"received,omitempty"`
-	Result       ledger.Result `json:"answer"`
-	Primary      string        `json:"primary,omitempty"`
+	ID           uint64       `json:"id"`
+	AppliedIndex uint64       `json:"at,omitempty"`
+	Received     bool         `json:"received,omitempty"`
+	Result       state.Result `json:"answer"`
+	Primary      string       `json:"primary,omitempty"`
 	// Keepers are the addresses of the view's keepers, for those who follow nothing.
 	Replicas []string `json:"keepers,omitempty"`
 }
 
 type SubscribeRequest struct {
-	Position ledger.LogPosition `json:"at"`
+	Position state.LogPosition `json:"at"`
 }
 
 // NewsBody carries committed commands, encoded, or a whole copy when Records is set. A
 // site's home daemon passes it on with Relayed set and the age of the last word
 // that it had from a proven primary.
 type FeedUpdate struct {
-	Relayed  bool               `json:"relayed,omitempty"`
-	Age      time.Duration      `json:"age,omitempty"`
-	Epoch    uint64             `json:"epoch"`
-	Previous ledger.LogPosition `json:"after"`
-	Position ledger.LogPosition `json:"at"`
-	Commands []json.RawMessage  `json:"commands,omitempty"`
-	Records  []machine.Record   `json:"records,omitempty"`
-	Rejected bool               `json:"bounced,omitempty"`
-	Primary  string             `json:"primary,omitempty"`
+	Relayed  bool              `json:"relayed,omitempty"`
+	Age      time.Duration     `json:"age,omitempty"`
+	Epoch    uint64            `json:"epoch"`
+	Previous state.LogPosition `json:"after"`
+	Position state.LogPosition `json:"at"`
+	Commands []json.RawMessage `json:"commands,omitempty"`
+	Records  []machine.Record  `json:"records,omitempty"`
+	Rejected bool              `json:"bounced,omitempty"`
+	Primary  string            `json:"primary,omitempty"`
 }
 
 type HeartbeatRequest struct {
-	ID        uint64           `json:"id"`
-	MaxWait   time.Duration    `json:"hold"`
-	Heartbeat ledger.Heartbeat `json:"beat"`
+	ID        uint64          `json:"id"`
+	MaxWait   time.Duration   `json:"hold"`
+	Heartbeat state.Heartbeat `json:"beat"`
 }
 
 // Key names the worker: a later report of it holds all that an earlier one does.
 func (b HeartbeatRequest) CoalescingKey() string { return b.Heartbeat.Worker }
 
 type HeartbeatReply struct {
-	ID       uint64        `json:"id"`
-	Result   ledger.Result `json:"answer"`
-	Primary  string        `json:"primary,omitempty"`
-	Replicas []string      `json:"keepers,omitempty"`
+	ID       uint64       `json:"id"`
+	Result   state.Result `json:"answer"`
+	Primary  string       `json:"primary,omitempty"`
+	Replicas []string     `json:"keepers,omitempty"`
 }
--- a/daemon/audit/audit.go
+++ b/daemon/audit/audit.go
@@ -20,9 +20,9 @@
 	"golang.org/x/mod/sumdb/note"
 	"golang.org/x/mod/sumdb/tlog"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/core/state"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/pool"
 )
 
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		var e ledger.AuditEntry
+		var e state.AuditEntry
 		if json.Unmarshal(line, &e) != nil {
 			return fmt.Errorf("audit entry %d of %s is damaged", l.size, l.dir)
 		}
@@ -179,7 +179,7 @@
 				}
 			}
 			if err != nil {
-				logline.Info("audit_failed", "why", err.Error())
+				logging.Info("audit_failed", "why", err.Error())
 				return
 			}
 		}
@@ -248,7 +248,7 @@
 			return r, err
 		}
 		for i, line := range lines {
-			var e ledger.AuditEntry
+			var e state.AuditEntry
 			if err := json.Unmarshal([]byte(line), &e); err != nil {
 				r.Findings = append(r.Findings, Finding{dir, int64(i), "not a JSON entry"})
 				continue
--- a/daemon/audit/audit_test.go
+++ b/daemon/audit/audit_test.go
@@ -8,15 +8,15 @@
 	"strings"
 	"testing"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 )
 
 func entry(sequence, previous uint64) machine.AuditEntry {
-	e := ledger.AuditEntry{
-		LogPosition:   ledger.LogPosition{Epoch: 1, Index: sequence},
+	e := state.AuditEntry{
+		LogPosition:   state.LogPosition{Epoch: 1, Index: sequence},
 		PreviousIndex: previous,
-		Decisions:     []ledger.Decision{{Kind: "accept", Job: "j"}},
+		Decisions:     []state.Decision{{Kind: "accept", Job: "j"}},
 	}
 	return machine.AuditEntry{Index: sequence, Data: machine.MustJSON(e)}
 }
--- a/daemon/cmd/front/main.go
+++ b/daemon/cmd/gateway/main.go
@@ -4,11 +4,11 @@
 import (
 	"os"
 
-	"sorrelloom/core/front"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/env"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
+	"sorrelloom/daemon/settings"
 	"sorrelloom/daemon/web"
 )
 
@@ -16,8 +16,8 @@
 	os.Exit(run.Main("front", false, build))
 }
 
-func build(e env.Settings, _ machine.StoredState) (run.Daemon, error) {
-	f := front.New(front.Config{Address: e.Address, Zone: e.Zone, FirstCommandID: run.RandomID()})
+func build(e settings.Settings, _ machine.StoredState) (run.Daemon, error) {
+	f := gateway.New(gateway.Config{Address: e.Address, Zone: e.Zone, FirstCommandID: run.RandomID()})
 	page := func(h *host.Host, s *host.Runner) web.Diagnostics {
 		return web.Diagnostics{
 			Ready: func() (ready bool) {
--- a/daemon/cmd/keeper/main.go
+++ b/daemon/cmd/replica/main.go
@@ -4,11 +4,11 @@
 import (
 	"os"
 
-	"sorrelloom/core/keeper"
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/env"
+	"sorrelloom/core/replica"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
+	"sorrelloom/daemon/settings"
 	"sorrelloom/daemon/web"
 )
 
@@ -16,8 +16,8 @@
 	os.Exit(run.Main("keeper", true, build))
 }
 
-func build(e env.Settings, stored machine.StoredState) (run.Daemon, error) {
-	k, err := keeper.New(keeper.Config{
+func build(e settings.Settings, stored machine.StoredState) (run.Daemon, error) {
+	k, err := replica.New(replica.Config{
 		Address: e.Address, Zone: e.Zone, Founders: e.Founders, NewID: run.RandomHexID(), BootID: run.RandomID(),
 	}, stored)
 	if err != nil {
--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -7,9 +7,9 @@
 	"sorrelloom/core/dispatch"
 	"sorrelloom/core/machine"
 	"sorrelloom/core/scheduler"
-	"sorrelloom/daemon/env"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
+	"sorrelloom/daemon/settings"
 	"sorrelloom/daemon/web"
 )
 
@@ -24,7 +24,7 @@
 	Counters dispatch.Counters `json:"counters"`
 }
 
-func build(e env.Settings, _ machine.StoredState) (run.Daemon, error) {
+func build(e settings.Settings, _ machine.StoredState) (run.Daemon, error) {
 	sched := scheduler.New(scheduler.Config{Address: e.Address, Zone: e.Zone, FirstCommandID: run.RandomID()})
 	page := func(h *host.Host, s *host.Runner) web.Diagnostics {
 		counter := func(name, help string, f func(dispatch.Counters) uint64) web.Gauge {
--- a/daemon/cmd/sorrelctl/main.go
+++ b/daemon/cmd/sorrelctl/main.go
@@ -16,11 +16,11 @@
 
 	"github.com/peterbourgon/ff/v3"
 
-	"sorrelloom/core/front"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
 	"sorrelloom/daemon/audit"
 	"sorrelloom/daemon/client"
-	"sorrelloom/daemon/env"
+	"sorrelloom/daemon/settings"
 )
 
 const usage = `sorrelctl [flags] COMMAND
@@ -77,7 +77,7 @@
 	}
 	words := fs.Args()
 	if len(words) == 1 && words[0] == "version" {
-		fmt.Fprintln(out, env.Version("sorrelctl"))
+		fmt.Fprintln(out, settings.Version("sorrelctl"))
 		return 0
 	}
 	if len(words) == 1 && words[0] == "members" {
@@ -122,7 +122,7 @@
 		return 3
 	}
 	if len(words) == 2 && words[0] == "why" && r.Status == 200 {
-		var view front.JobView
+		var view gateway.JobView
 		if err := r.Decode(&view); err == nil {
 			fmt.Fprintln(out, view.WaitReason)
 			return 0
--- a/daemon/cmd/sorrelctl/members.go
+++ b/daemon/cmd/sorrelctl/members.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
 	"sorrelloom/daemon/client"
 )
@@ -33,7 +33,7 @@
 // memberPage is one member's own report.
 type statusPage struct {
 	address string
-	status  keeper.Report
+	status  replica.Report
 }
 
 // members prints who leads, in which epoch, and how far each member is behind. The
@@ -88,8 +88,8 @@
 	return pages, nil
 }
 
-func readReport(address string, wait time.Duration) (keeper.Report, error) {
-	var report keeper.Report
+func readReport(address string, wait time.Duration) (replica.Report, error) {
+	var report replica.Report
 	response, err := client.MustNew([]string{address}).CallAddress(address, "GET", statusPath, nil, nil, wait)
 	if err != nil {
 		return report, err
@@ -109,7 +109,7 @@
 }
 
 // leadership ranks reports of one epoch: that of a proven leader tells most.
-func leadership(r keeper.Report) int {
+func leadership(r replica.Report) int {
 	switch {
 	case r.LeadershipConfirmed:
 		return 2
@@ -119,7 +119,7 @@
 	return 0
 }
 
-func printMembers(out io.Writer, report keeper.Report) {
+func printMembers(out io.Writer, report replica.Report) {
 	leads := "leads in"
 	switch {
 	case !report.Serving:
@@ -134,18 +134,18 @@
 	fmt.Fprintln(table, "ADDRESS\tSITE\tROLE\tSEQUENCE\tLAG\tHEARD\tID")
 	for _, m := range report.Members {
 		sequence, lag := "-", "-"
-		if m.Lag != keeper.Unknown || m.ID == report.ID {
+		if m.Lag != replica.Unknown || m.ID == report.ID {
 			sequence = fmt.Sprint(m.Index)
 		}
-		if m.Lag != keeper.Unknown {
+		if m.Lag != replica.Unknown {
 			lag = fmt.Sprint(m.Lag)
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Address, m.Zone, m.Role, sequence, lag, formatLastHeard(m), m.ID)
 	}
 }
 
-func formatLastHeard(m keeper.MemberStatus) string {
-	if m.HeardMsAgo == keeper.Unknown {
+func formatLastHeard(m replica.MemberStatus) string {
+	if m.HeardMsAgo == replica.Unknown {
 		return "never"
 	}
 	return (time.Duration(m.HeardMsAgo) * time.Millisecond).String() + " ago"
@@ -153,10 +153,10 @@
 
 // printOutsiders names the keepers that answer and are no members: one with an empty
 // disk that waits for its place, or one whose place was given to another.
-func printNonMembers(out io.Writer, report keeper.Report, answered []statusPage) {
+func printNonMembers(out io.Writer, report replica.Report, answered []statusPage) {
 	var outsiders []string
 	for _, page := range answered {
-		isMember := slices.ContainsFunc(report.Members, func(m keeper.MemberStatus) bool { return m.ID == page.status.ID })
+		isMember := slices.ContainsFunc(report.Members, func(m replica.MemberStatus) bool { return m.ID == page.status.ID })
 		if !isMember {
 			outsiders = append(outsiders, fmt.Sprintf("%s (%s)", page.address, page.status.ID))
 		}
--- a/daemon/cmd/sorrelctl/members_test.go
+++ b/daemon/cmd/sorrelctl/members_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/keeper"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/replica"
+	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
 )
 
@@ -31,19 +31,19 @@
 }
 
 // reportOf is the report of a keeper in an epoch that seat "one" leads.
-func reportOf(id string, epoch uint64, serving bool) keeper.Report {
+func reportOf(id string, epoch uint64, serving bool) replica.Report {
 	one, two := wire.Member{ID: "one", Address: "10.0.0.1:7000"}, wire.Member{ID: "two", Address: "10.0.0.2:7000"}
-	var report keeper.Report
+	var report replica.Report
 	report.ID, report.Serving, report.LeadershipConfirmed = id, serving, serving
 	report.View = wire.View{Epoch: epoch, Primary: one, Backups: []wire.Member{two}, Voters: []wire.Member{one, two}}
-	report.Position = ledger.LogPosition{Epoch: epoch, Index: 900}
-	report.Members = []keeper.MemberStatus{
-		{Member: one, Role: keeper.Leader, Index: 900},
-		{Member: two, Role: keeper.Backup, Index: 893, Lag: 7, HeardMsAgo: 40},
+	report.Position = state.LogPosition{Epoch: epoch, Index: 900}
+	report.Members = []replica.MemberStatus{
+		{Member: one, Role: replica.Leader, Index: 900},
+		{Member: two, Role: replica.Backup, Index: 893, Lag: 7, HeardMsAgo: 40},
 	}
 	if id == "two" {
-		report.Members[0].Lag, report.Members[0].HeardMsAgo = keeper.Unknown, 30
-		report.Members[1].Lag, report.Members[1].HeardMsAgo = keeper.Unknown, 0
+		report.Members[0].Lag, report.Members[0].HeardMsAgo = replica.Unknown, 30
+		report.Members[1].Lag, report.Members[1].HeardMsAgo = replica.Unknown, 0
 	}
 	return report
 }
--- a/daemon/compatibility/cluster_test.go
+++ b/daemon/compatibility/cluster_test.go
@@ -1,4 +1,5 @@
 // A cluster of real keepers in memory, whose disks are real data folders.
+
 package compatibility
 
 import (
@@ -8,11 +9,11 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/keeper"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/replica"
+	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
-	"sorrelloom/daemon/store"
+	"sorrelloom/daemon/storage"
 )
 
 const (
@@ -29,8 +30,8 @@
 type clusterNode struct {
 	address string
 	site    string
-	keeper  *keeper.Replica
-	data    *store.Store
+	keeper  *replica.Replica
+	data    *storage.Store
 	audits  []machine.AuditEntry
 	// cut takes all its lines away.
 	cut bool
@@ -61,16 +62,16 @@
 
 func (c *cluster) start(folder string, i, copies int) {
 	address := string(rune('a' + i))
-	data, stored, err := store.Open(filepath.Join(folder, address))
+	data, stored, err := storage.Open(filepath.Join(folder, address))
 	c.check(err)
 	c.t.Cleanup(func() { _ = data.Close() })
-	env := keeper.Config{
+	env := replica.Config{
 		Address: address, Zone: string(rune('x' + i%3)), NewID: address + "-1", BootID: uint64(100 + i), BackupCount: copies,
 	}
 	if i < 3 {
 		env.Founders = []string{"a", "b", "c"}
 	}
-	k, err := keeper.New(env, stored)
+	k, err := replica.New(env, stored)
 	c.check(err)
 	c.replicas = append(c.replicas, &clusterNode{address: address, site: env.Zone, keeper: k, data: data})
 }
@@ -171,7 +172,7 @@
 }
 
 // submit hands a command to a replica and gives its number.
-func (c *cluster) submit(r *clusterNode, cmd ledger.Command) uint64 {
+func (c *cluster) submit(r *clusterNode, cmd state.Command) uint64 {
 	c.asked++
 	var out machine.Output
 	r.keeper.Submit(c.time(), c.asked, cmd, &out)
@@ -181,7 +182,7 @@
 }
 
 // do has the primary carry a command out and waits for the answer.
-func (c *cluster) do(cmd ledger.Command) ledger.Result {
+func (c *cluster) do(cmd state.Command) state.Result {
 	c.t.Helper()
 	p := c.primary()
 	id := c.submit(p, cmd)
@@ -194,11 +195,11 @@
 		}
 	}
 	c.t.Fatalf("%s is not answered", cmd.Kind)
-	return ledger.Result{}
+	return state.Result{}
 }
 
 // must is do with a command that is not refused.
-func (c *cluster) must(cmd ledger.Command) ledger.Result {
+func (c *cluster) must(cmd state.Command) state.Result {
 	c.t.Helper()
 	a := c.do(cmd)
 	if !a.Code.IsSuccess() {
@@ -208,7 +209,7 @@
 }
 
 // refused is do with a command that is.
-func (c *cluster) refused(cmd ledger.Command) {
+func (c *cluster) refused(cmd state.Command) {
 	c.t.Helper()
 	if a := c.do(cmd); a.Code.IsSuccess() {
 		c.t.Fatalf("%s is not refused", cmd.Kind)
@@ -220,7 +221,7 @@
 	for _, r := range c.replicas {
 		c.step(r, machine.Input{SnapshotDue: true})
 	}
-	c.must(ledger.Command{Kind: ledger.KindTick})
+	c.must(state.Command{Kind: state.KindTick})
 	c.pass(time.Second)
 	for _, r := range c.replicas {
 		path := filepath.Join(folder, r.address, "snapshot-000000000002")
@@ -245,7 +246,7 @@
 func (c *cluster) diverge() {
 	old := c.primary()
 	old.cut = true
-	c.submit(old, ledger.Command{Kind: ledger.KindTick})
+	c.submit(old, state.Command{Kind: state.KindTick})
 	c.pass(4 * time.Second)
 	old.cut = false
 	c.pass(4 * time.Second)
--- a/daemon/compatibility/coverage_test.go
+++ b/daemon/compatibility/coverage_test.go
@@ -1,4 +1,5 @@
 // The fixtures hold what they are to show: every kind, every table, every field.
+
 package compatibility
 
 import (
@@ -11,10 +12,10 @@
 	"strings"
 	"testing"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
-	"sorrelloom/core/register"
+	"sorrelloom/core/paxos"
+	"sorrelloom/core/state"
 )
 
 // kinds are all kinds of commands that change the ledger, by their encoded names.
@@ -68,8 +69,8 @@
 // TestKindsAreComplete wants each kind to be carried out, and none of them to be a read.
 func TestKindsAreComplete(t *testing.T) {
 	for _, kind := range kinds {
-		a := ledger.New().Apply(ledger.Command{Kind: kind})
-		if ledger.IsReadOnly(kind) || strings.HasPrefix(a.Reason, "unknown command") {
+		a := state.New().Apply(state.Command{Kind: kind})
+		if state.IsReadOnly(kind) || strings.HasPrefix(a.Reason, "unknown command") {
 			t.Errorf("%s changes nothing: %v", kind, a)
 		}
 	}
@@ -115,19 +116,19 @@
 		for _, one := range o {
 			commands = append(commands, commandsOf(t, slices.Concat(one.stored.CommandsBeforeSnapshot, one.stored.Commands))...)
 		}
-		missing := missingFields(reflect.TypeFor[ledger.Command](), commands, "command")
+		missing := missingFields(reflect.TypeFor[state.Command](), commands, "command")
 		tables := tablesOf(t, golden(t, filepath.Join(folder, ledgerFile)))
 		for name, stored := range map[string]reflect.Type{
-			"job": reflect.TypeFor[ledger.Job](), "task": reflect.TypeFor[ledger.Task](),
-			"worker": reflect.TypeFor[ledger.Worker](), "duty": reflect.TypeFor[ledger.Leadership](),
-			"daemon": reflect.TypeFor[ledger.Scheduler](), "request": reflect.TypeFor[ledger.Request](),
-			"past": reflect.TypeFor[ledger.PastJob](), "meta/plan": reflect.TypeFor[plan.Config](),
+			"job": reflect.TypeFor[state.Job](), "task": reflect.TypeFor[state.Task](),
+			"worker": reflect.TypeFor[state.Worker](), "duty": reflect.TypeFor[state.Leadership](),
+			"daemon": reflect.TypeFor[state.Scheduler](), "request": reflect.TypeFor[state.Request](),
+			"past": reflect.TypeFor[state.PastJob](), "meta/plan": reflect.TypeFor[config.Config](),
 		} {
 			missing = append(missing, missingFields(stored, tables[name], name)...)
 		}
 		registers := registersOf(t, folder)
-		missing = append(missing, missingFields(reflect.TypeFor[register.Acceptor](), registers, "register")...)
-		missing = append(missing, missingFields(reflect.TypeFor[ledger.AuditEntry](), entriesOf(t, folder), "entry")...)
+		missing = append(missing, missingFields(reflect.TypeFor[paxos.Acceptor](), registers, "register")...)
+		missing = append(missing, missingFields(reflect.TypeFor[state.AuditEntry](), entriesOf(t, folder), "entry")...)
 		for _, path := range missing {
 			if _, known := absent[path]; !known {
 				t.Errorf("%s has no value in the fixture", path)
--- a/daemon/compatibility/generate_test.go
+++ b/daemon/compatibility/generate_test.go
@@ -1,4 +1,5 @@
 // Writing the fixture of the present code.
+
 package compatibility
 
 import (
--- a/daemon/compatibility/golden_test.go
+++ b/daemon/compatibility/golden_test.go
@@ -1,4 +1,5 @@
 // What earlier commits wrote is read as it was recorded then.
+
 package compatibility
 
 import (
@@ -11,8 +12,8 @@
 	"strconv"
 	"testing"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 	"sorrelloom/daemon/audit"
 )
 
@@ -130,11 +131,11 @@
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
 		for address, o := range openAll(t, folder, copies) {
 			for i, encoded := range slices.Concat(o.stored.CommandsBeforeSnapshot, o.stored.Commands) {
-				cmd, err := ledger.Decode(encoded)
+				cmd, err := state.Decode(encoded)
 				if err != nil {
 					t.Fatalf("%s, command %d: %v", address, i, err)
 				}
-				if again := ledger.Encode(cmd.Command).Encoded; !bytes.Equal(again, encoded) {
+				if again := state.Encode(cmd.Command).Encoded; !bytes.Equal(again, encoded) {
 					t.Errorf("%s, command %d (%s) is encoded as\n %q, was\n %q", address, i, cmd.Kind, again, encoded)
 				}
 			}
@@ -153,7 +154,7 @@
 					stored = append(stored, r)
 				}
 			}
-			l, err := ledger.Load(stored)
+			l, err := state.Load(stored)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -179,7 +180,7 @@
 				t.Errorf("%s has %d entries, %s are signed", log, len(entries), signed)
 			}
 			for _, line := range entries {
-				var e ledger.AuditEntry
+				var e state.AuditEntry
 				if err := json.Unmarshal(line, &e); err != nil {
 					t.Fatal(err)
 				}
--- a/daemon/compatibility/script_test.go
+++ b/daemon/compatibility/script_test.go
@@ -1,12 +1,13 @@
 // The commands that the fixture was made of.
+
 package compatibility
 
 import (
 	"encoding/json"
 	"time"
 
-	"sorrelloom/core/ledger"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/config"
+	"sorrelloom/core/state"
 )
 
 // wholePlan sets every field that a plan may have.
@@ -25,28 +26,28 @@
 // script brings a cluster commands of every kind.
 type script struct {
 	*cluster
-	beats map[string]ledger.Heartbeat
+	beats map[string]state.Heartbeat
 }
 
 // history leaves jobs that ended so long ago that only a trace is left, and one of
 // which not even that is.
 func (s *script) history() {
-	s.must(ledger.Command{
-		Kind: ledger.KindChangeConfig, IdempotencyKey: "first", Digest: "of the call", RequestedAt: ledger.RequestTimeUnknown,
-		ConfigChange: ledger.ConfigChange{Version: 7, Body: json.RawMessage(wholePlan)},
+	s.must(state.Command{
+		Kind: state.KindChangeConfig, IdempotencyKey: "first", Digest: "of the call", RequestedAt: state.RequestTimeUnknown,
+		ConfigChange: state.ConfigChange{Version: 7, Body: json.RawMessage(wholePlan)},
 	})
-	s.accept(ledger.JobSpec{ID: "forgotten", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
-	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: "forgotten"})
+	s.accept(state.JobSpec{ID: "forgotten", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{{ID: "t"}}})
+	s.must(state.Command{Kind: state.KindCancelJob, Name: "forgotten"})
 	for range 3 {
 		s.pass(6 * time.Second)
-		s.must(ledger.Command{Kind: ledger.KindTick})
+		s.must(state.Command{Kind: state.KindTick})
 	}
 	s.limits(`{"remember":"1h"}`)
 }
 
 // limits changes some limits of the plan.
 func (s *script) limits(change string) {
-	s.must(ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{
+	s.must(state.Command{Kind: state.KindChangeConfig, ConfigChange: state.ConfigChange{
 		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":` + change + `}`),
 	}})
 }
@@ -64,113 +65,113 @@
 
 // trace leaves what stays of a job that was cancelled.
 func (s *script) trace(p string) {
-	s.accept(ledger.JobSpec{ID: p + "past", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
-	s.must(ledger.Command{
-		Kind: ledger.KindCancelJob, Name: p + "past", Host: "tickets.example", Path: "/quick/1", Summary: true,
+	s.accept(state.JobSpec{ID: p + "past", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{{ID: "t"}}})
+	s.must(state.Command{
+		Kind: state.KindCancelJob, Name: p + "past", Host: "tickets.example", Path: "/quick/1", Summary: true,
 	})
 	s.pass(6 * time.Second)
-	s.must(ledger.Command{Kind: ledger.KindTick})
+	s.must(state.Command{Kind: state.KindTick})
 }
 
-func (s *script) hello(h ledger.SchedulerHeartbeat) {
-	s.must(ledger.Command{Kind: ledger.KindSchedulerHeartbeat, SchedulerHeartbeat: h})
+func (s *script) hello(h state.SchedulerHeartbeat) {
+	s.must(state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: h})
 }
 
 // duties has three schedulers: one duty is won, moved and passed on, one is voted
 // about, one is taken by the primary's own dispatcher.
 func (s *script) duties(p string) {
 	duty, own := "dispatch/"+p, "own/"+p
-	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: duty, Candidate: "s1"})
+	s.hello(state.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: duty, Candidate: "s1"})
 	for _, name := range []string{"s2", "s3", "s4"} {
-		s.hello(ledger.SchedulerHeartbeat{Scheduler: name, Zone: "b"})
+		s.hello(state.SchedulerHeartbeat{Scheduler: name, Zone: "b"})
 	}
-	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s4", Zone: "b", Leaving: true})
-	s.must(ledger.Command{Kind: ledger.KindTransferLeadership, Name: duty, IdempotencyKey: p + "move", SchedulerHeartbeat: ledger.SchedulerHeartbeat{Candidate: "s2"}})
-	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s2", Zone: "b", Leadership: duty, Candidate: "s1", Epoch: 2, Transfer: true})
-	s.hello(ledger.SchedulerHeartbeat{Scheduler: "s3", Zone: "b", Leadership: "open/" + p, Candidate: "s1"})
-	s.must(ledger.Command{Kind: ledger.KindTakeLeadership, Name: own, SchedulerHeartbeat: ledger.SchedulerHeartbeat{Scheduler: "k1", Zone: "a"}})
+	s.hello(state.SchedulerHeartbeat{Scheduler: "s4", Zone: "b", Leaving: true})
+	s.must(state.Command{Kind: state.KindTransferLeadership, Name: duty, IdempotencyKey: p + "move", SchedulerHeartbeat: state.SchedulerHeartbeat{Candidate: "s2"}})
+	s.hello(state.SchedulerHeartbeat{Scheduler: "s2", Zone: "b", Leadership: duty, Candidate: "s1", Epoch: 2, Transfer: true})
+	s.hello(state.SchedulerHeartbeat{Scheduler: "s3", Zone: "b", Leadership: "open/" + p, Candidate: "s1"})
+	s.must(state.Command{Kind: state.KindTakeLeadership, Name: own, SchedulerHeartbeat: state.SchedulerHeartbeat{Scheduler: "k1", Zone: "a"}})
 }
 
 func (s *script) workers(p string) {
-	s.beats = map[string]ledger.Heartbeat{}
+	s.beats = map[string]state.Heartbeat{}
 	for _, name := range []string{"w1", "w2", "w3", "w4", "w5", "w6"} {
-		s.beat(p+name, func(b *ledger.Heartbeat) {
+		s.beat(p+name, func(b *state.Heartbeat) {
 			b.Incarnation, b.Zone, b.Rack, b.Service, b.Labels = 5, "a", "r1", "tickets", []string{"ssd"}
-			b.Free = ledger.Resources{Slots: 8, Cores: 64, MemoryMB: 4096, Accelerators: 8}
+			b.Free = state.Resources{Slots: 8, Cores: 64, MemoryMB: 4096, Accelerators: 8}
 			b.Total, b.Address = b.Free, "10.0.0.1:"+p+name
 		})
 	}
-	s.beat(p+"w4", func(b *ledger.Heartbeat) { b.Leaving, b.LeavesIn = true, time.Minute })
+	s.beat(p+"w4", func(b *state.Heartbeat) { b.Leaving, b.LeavesIn = true, time.Minute })
 }
 
 // beat sends a worker's next report.
-func (s *script) beat(id string, change func(*ledger.Heartbeat)) {
+func (s *script) beat(id string, change func(*state.Heartbeat)) {
 	b := s.beats[id]
 	b.Worker, b.Number = id, b.Number+1
 	change(&b)
-	s.must(ledger.Command{Kind: ledger.KindHeartbeat, Heartbeat: b})
+	s.must(state.Command{Kind: state.KindHeartbeat, Heartbeat: b})
 	b.Ended, b.Progress, b.NotRunning, b.Delta = nil, nil, nil, false
 	s.beats[id] = b
 }
 
-func (s *script) accept(spec ledger.JobSpec) {
-	s.must(ledger.Command{Kind: ledger.KindAcceptJob, Job: spec})
+func (s *script) accept(spec state.JobSpec) {
+	s.must(state.Command{Kind: state.KindAcceptJob, Job: spec})
 }
 
 func (s *script) jobs(p string) {
-	placing := ledger.Placement{
-		ExpectedRunTime: plan.Duration{Duration: time.Second}, PreferredRack: "r1", SameRack: true, MaxPerWorker: 3, Checkpointed: true,
+	placing := state.Placement{
+		ExpectedRunTime: config.Duration{Duration: time.Second}, PreferredRack: "r1", SameRack: true, MaxPerWorker: 3, Checkpointed: true,
 		AllowsDuplicates: true,
 	}
-	room := ledger.Resources{Slots: 1, Cores: 2, MemoryMB: 3, Accelerators: 1}
-	all := ledger.TaskSpec{
+	room := state.Resources{Slots: 1, Cores: 2, MemoryMB: 3, Accelerators: 1}
+	all := state.TaskSpec{
 		ID: "whole", DependsOn: []string{"first"}, Resources: room, Labels: []string{"ssd"}, Gang: "g",
-		RunLimit: plan.Duration{Duration: 9 * time.Second}, MaxFailures: 5, LostWorkerPolicy: "hold",
+		RunLimit: config.Duration{Duration: 9 * time.Second}, MaxFailures: 5, LostWorkerPolicy: "hold",
 		Payload: json.RawMessage(`{"task":1}`), Placement: placing,
 	}
-	lasting := ledger.TaskSpec{ID: "lasting", Resources: room, Placement: ledger.Placement{LongRunning: true}}
-	s.accept(ledger.JobSpec{
-		ID: p + "tasks", Service: "tickets", Class: "batch", Deadline: plan.Duration{Duration: time.Hour},
+	lasting := state.TaskSpec{ID: "lasting", Resources: room, Placement: state.Placement{LongRunning: true}}
+	s.accept(state.JobSpec{
+		ID: p + "tasks", Service: "tickets", Class: "batch", Deadline: config.Duration{Duration: time.Hour},
 		Payload: json.RawMessage(`{"job":[1,"two"]}`),
-		Tasks:   []ledger.TaskSpec{{ID: "first", Resources: room}, all, lasting},
+		Tasks:   []state.TaskSpec{{ID: "first", Resources: room}, all, lasting},
 	})
-	s.accept(ledger.JobSpec{
+	s.accept(state.JobSpec{
 		ID: p + "steps", Host: "tickets.example", Path: "/quick/2",
-		Steps: []ledger.StepSpec{
+		Steps: []state.StepSpec{
 			{Count: 2, Resources: room, Labels: []string{"ssd"}, Gang: true, MaxFailures: 2, Placement: placing},
-			{Count: 1, DependsOn: []int{0}, Resources: room, Placement: ledger.Placement{LongRunning: true}},
+			{Count: 1, DependsOn: []int{0}, Resources: room, Placement: state.Placement{LongRunning: true}},
 		},
-		Repeat: ledger.Repeat{
-			Count: 2, FirstAt: wallStart.Add(time.Second), Every: plan.Duration{Duration: time.Hour},
+		Repeat: state.Repeat{
+			Count: 2, FirstAt: wallStart.Add(time.Second), Every: config.Duration{Duration: time.Hour},
 		},
 	})
-	var many []ledger.TaskSpec
+	var many []state.TaskSpec
 	for _, id := range []string{"t0", "t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8", "t9"} {
-		many = append(many, ledger.TaskSpec{ID: id, Resources: room, Placement: ledger.Placement{Checkpointed: true}})
+		many = append(many, state.TaskSpec{ID: id, Resources: room, Placement: state.Placement{Checkpointed: true}})
 	}
-	s.accept(ledger.JobSpec{ID: p + "many", Service: "tickets", Class: "batch", Tasks: many})
-	s.accept(ledger.JobSpec{
-		ID: p + "cancelled", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}, {ID: "u"}},
+	s.accept(state.JobSpec{ID: p + "many", Service: "tickets", Class: "batch", Tasks: many})
+	s.accept(state.JobSpec{
+		ID: p + "cancelled", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{{ID: "t"}, {ID: "u"}},
 	})
-	s.accept(ledger.JobSpec{
-		ID: p + "large", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{
-			{ID: "a", Resources: ledger.Resources{Slots: 8}}, {ID: "b", Resources: ledger.Resources{Slots: 8}},
-			{ID: "c", Resources: ledger.Resources{Slots: 8}},
+	s.accept(state.JobSpec{
+		ID: p + "large", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{
+			{ID: "a", Resources: state.Resources{Slots: 8}}, {ID: "b", Resources: state.Resources{Slots: 8}},
+			{ID: "c", Resources: state.Resources{Slots: 8}},
 		},
 	})
-	s.must(ledger.Command{Kind: ledger.KindTick})
+	s.must(state.Command{Kind: state.KindTick})
 }
 
 // grant gives a task, or more of one gang, to a worker.
 func (s *script) grant(p, job, worker string, tasks ...string) {
-	s.must(ledger.Command{Kind: ledger.KindGrantLeases, Grant: s.picks(p, job, worker, tasks...)})
+	s.must(state.Command{Kind: state.KindGrantLeases, Grant: s.picks(p, job, worker, tasks...)})
 }
 
-func (s *script) picks(p, job, worker string, tasks ...string) ledger.Grant {
-	g := ledger.Grant{Leadership: "dispatch/" + p, Epoch: 3}
+func (s *script) picks(p, job, worker string, tasks ...string) state.Grant {
+	g := state.Grant{Leadership: "dispatch/" + p, Epoch: 3}
 	for _, task := range tasks {
 		beat := s.beats[p+worker].Number
-		g.Assignments = append(g.Assignments, ledger.Assignment{Job: p + job, Task: task, Worker: p + worker, HeartbeatNumber: beat})
+		g.Assignments = append(g.Assignments, state.Assignment{Job: p + job, Task: task, Worker: p + worker, HeartbeatNumber: beat})
 	}
 	return g
 }
@@ -178,35 +179,35 @@
 // turns has tasks run, end in every way, save progress and be told to stop.
 func (s *script) turns(p string) {
 	w1 := p + "w1"
-	try := func(task string) ledger.Attempt { return ledger.Attempt{Job: p + "many", Task: task, Number: 1} }
-	var running []ledger.Attempt
+	try := func(task string) state.Attempt { return state.Attempt{Job: p + "many", Task: task, Number: 1} }
+	var running []state.Attempt
 	for _, task := range []string{"t0", "t1", "t2", "t3", "t4"} {
 		s.grant(p, "many", "w1", task)
 		running = append(running, try(task))
 	}
-	s.beat(w1, func(b *ledger.Heartbeat) { b.Running, b.Free.Slots = running, 3 })
-	s.beat(w1, func(b *ledger.Heartbeat) {
-		b.Progress = []ledger.Progress{{Attempt: try("t4"), Checkpoint: "part 1", Percent: 40}}
-		b.Ended = []ledger.AttemptResult{
+	s.beat(w1, func(b *state.Heartbeat) { b.Running, b.Free.Slots = running, 3 })
+	s.beat(w1, func(b *state.Heartbeat) {
+		b.Progress = []state.Progress{{Attempt: try("t4"), Checkpoint: "part 1", Percent: 40}}
+		b.Ended = []state.AttemptResult{
 			{Attempt: try("t0"), Succeeded: true}, {Attempt: try("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
 			{Attempt: try("t2"), Lost: true}, {Attempt: try("t3"), Stopped: true},
 		}
 		b.Running, b.Free.Slots = running[4:], 7
 	})
 	s.grant(p, "many", "w1", "t5")
-	s.beat(w1, func(b *ledger.Heartbeat) { b.Running = append(b.Running, try("t5")) })
-	s.beat(w1, func(b *ledger.Heartbeat) {
-		b.Delta, b.Running, b.NotRunning = true, nil, []ledger.Attempt{try("t5")}
+	s.beat(w1, func(b *state.Heartbeat) { b.Running = append(b.Running, try("t5")) })
+	s.beat(w1, func(b *state.Heartbeat) {
+		b.Delta, b.Running, b.NotRunning = true, nil, []state.Attempt{try("t5")}
 		b.Zone, b.Rack, b.Service, b.Labels, b.Address = "", "", "", nil, ""
 	})
-	s.must(ledger.Command{Kind: ledger.KindRenewWorkers, Renewals: []ledger.Renewal{
+	s.must(state.Command{Kind: state.KindRenewWorkers, Renewals: []state.Renewal{
 		{Worker: w1, Incarnation: 5, Number: 9, Age: 20 * time.Millisecond},
 		{Worker: p + "w2", Incarnation: 5, Number: 2, Age: 30 * time.Millisecond},
 	}})
 	s.grant(p, "steps", "w5", "0.0.0", "0.0.1")
-	s.beat(p+"w5", func(b *ledger.Heartbeat) {
+	s.beat(p+"w5", func(b *state.Heartbeat) {
 		for _, task := range []string{"0.0.0", "0.0.1"} {
-			b.Running = append(b.Running, ledger.Attempt{Job: p + "steps", Task: task, Number: 1})
+			b.Running = append(b.Running, state.Attempt{Job: p + "steps", Task: task, Number: 1})
 		}
 		b.Free.Slots = 6
 	})
@@ -219,29 +220,29 @@
 	s.grant(p, "large", "w3", "b")
 	s.grant(p, "large", "w6", "c")
 	g := s.picks(p, "large", "w6", "c")
-	g.PreemptFor = ledger.Assignment{Job: p + "steps", Task: "0.1.0", Worker: p + "w6", HeartbeatNumber: 1}
-	s.must(ledger.Command{Kind: ledger.KindPreempt, Grant: g})
-	s.beat(p+"w2", func(b *ledger.Heartbeat) {
+	g.PreemptFor = state.Assignment{Job: p + "steps", Task: "0.1.0", Worker: p + "w6", HeartbeatNumber: 1}
+	s.must(state.Command{Kind: state.KindPreempt, Grant: g})
+	s.beat(p+"w2", func(b *state.Heartbeat) {
 		b.Free.Slots = 0
-		b.Running = []ledger.Attempt{{Job: p + "large", Task: "a", Number: 1}}
+		b.Running = []state.Attempt{{Job: p + "large", Task: "a", Number: 1}}
 	})
-	s.beat(p+"w3", func(b *ledger.Heartbeat) { b.Running = []ledger.Attempt{{Job: p + "many", Task: "t4", Number: 1}} })
+	s.beat(p+"w3", func(b *state.Heartbeat) { b.Running = []state.Attempt{{Job: p + "many", Task: "t4", Number: 1}} })
 }
 
 // operators sends each operator's write, with and without a token.
 func (s *script) operators(p string) {
 	s.grant(p, "cancelled", "w1", "t")
-	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: p + "cancelled"})
-	s.must(ledger.Command{Kind: ledger.KindDrainWorker, Name: p + "w3", Drain: true, IdempotencyKey: p + "drain"})
+	s.must(state.Command{Kind: state.KindCancelJob, Name: p + "cancelled"})
+	s.must(state.Command{Kind: state.KindDrainWorker, Name: p + "w3", Drain: true, IdempotencyKey: p + "drain"})
 	now := s.primary().keeper.Time(s.time())
-	s.must(ledger.Command{
-		Kind: ledger.KindDrainZone, Name: "b", Drain: true, IdempotencyKey: p + "site", RequestedAt: now, MaxAge: time.Minute, ConfirmedIndex: 1 << 20,
+	s.must(state.Command{
+		Kind: state.KindDrainZone, Name: "b", Drain: true, IdempotencyKey: p + "site", RequestedAt: now, MaxAge: time.Minute, ConfirmedIndex: 1 << 20,
 	})
-	s.refused(ledger.Command{Kind: ledger.KindChangeConfig, IdempotencyKey: p + "bad", RequestedAt: now, ConfigChange: ledger.ConfigChange{
+	s.refused(state.Command{Kind: state.KindChangeConfig, IdempotencyKey: p + "bad", RequestedAt: now, ConfigChange: state.ConfigChange{
 		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":{"lease":"1s"}}`),
 	}})
 	base := s.primary().keeper.Store().Config().Version
-	s.must(ledger.Command{Kind: ledger.KindChangeConfig, IdempotencyKey: p + "good", RequestedAt: now, ConfigChange: ledger.ConfigChange{
+	s.must(state.Command{Kind: state.KindChangeConfig, IdempotencyKey: p + "good", RequestedAt: now, ConfigChange: state.ConfigChange{
 		BaseVersion: base, Patch: true, Body: json.RawMessage(`{"limits":{"endsAtCutoff":true}}`),
 	}})
 }
@@ -249,15 +250,15 @@
 // late is what needs time to pass: a worker that went silent, and one that came
 // back as another process while its turn is held.
 func (s *script) late(p string) {
-	s.beat(p+"w2", func(b *ledger.Heartbeat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
+	s.beat(p+"w2", func(b *state.Heartbeat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
 	s.pass(3500 * time.Millisecond)
-	s.must(ledger.Command{Kind: ledger.KindConfirmWorkerDead, Name: p + "w4", IdempotencyKey: p + "gone"})
+	s.must(state.Command{Kind: state.KindConfirmWorkerDead, Name: p + "w4", IdempotencyKey: p + "gone"})
 	for _, name := range []string{"s1", "s2", "s3"} {
-		s.hello(ledger.SchedulerHeartbeat{Scheduler: name, Zone: "a"})
+		s.hello(state.SchedulerHeartbeat{Scheduler: name, Zone: "a"})
 	}
-	s.accept(ledger.JobSpec{ID: p + "ended", Service: "tickets", Class: "batch", Tasks: []ledger.TaskSpec{{ID: "t"}}})
-	s.must(ledger.Command{Kind: ledger.KindCancelJob, Name: p + "ended"})
-	s.must(ledger.Command{Kind: ledger.KindTick})
+	s.accept(state.JobSpec{ID: p + "ended", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{{ID: "t"}}})
+	s.must(state.Command{Kind: state.KindCancelJob, Name: p + "ended"})
+	s.must(state.Command{Kind: state.KindTick})
 }
 
 // still has nothing fall due for a while, so that the primary, when it is cut off,
--- a/daemon/compatibility/state_test.go
+++ b/daemon/compatibility/state_test.go
@@ -1,4 +1,5 @@
 // The whole state of a replica that starts from a data folder, in encoded names only.
+
 package compatibility
 
 import (
@@ -10,10 +11,10 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/keeper"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
-	"sorrelloom/daemon/store"
+	"sorrelloom/daemon/storage"
 )
 
 // ownBucket holds a keeper's own records.
@@ -31,7 +32,7 @@
 // opened is a data folder as a keeper that starts finds it.
 type opened struct {
 	stored machine.StoredState
-	keeper *keeper.Replica
+	keeper *replica.Replica
 }
 
 // open starts a keeper from a copy of a data folder.
@@ -41,7 +42,7 @@
 	if err := os.CopyFS(scratch, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	data, stored, err := store.Open(scratch)
+	data, stored, err := storage.Open(scratch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,9 +50,9 @@
 	return opened{stored, start(t, stored)}
 }
 
-func start(t *testing.T, stored machine.StoredState) *keeper.Replica {
+func start(t *testing.T, stored machine.StoredState) *replica.Replica {
 	t.Helper()
-	k, err := keeper.New(keeper.Config{NewID: "fresh", BootID: 1, BackupCount: 1}, stored)
+	k, err := replica.New(replica.Config{NewID: "fresh", BootID: 1, BackupCount: 1}, stored)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +69,7 @@
 }
 
 // drive steps a keeper with an input and has its writes done. It gives all output.
-func drive(k *keeper.Replica, now time.Duration, in machine.Input) machine.Output {
+func drive(k *replica.Replica, now time.Duration, in machine.Input) machine.Output {
 	out := k.Step(now, in)
 	for i := 0; i < len(out.Writes); i++ {
 		more := k.Step(now, machine.Input{CompletedWrite: out.Writes[i].ID})
@@ -85,7 +86,7 @@
 
 // registerOf asks for a vote that is not given, after which the keeper writes its
 // register as it is.
-func registerOf(t *testing.T, k *keeper.Replica) json.RawMessage {
+func registerOf(t *testing.T, k *replica.Replica) json.RawMessage {
 	t.Helper()
 	out := drive(k, stride, lineOf(wire.KindPrepare, wire.PaxosMessage{To: k.ID(), From: wire.Member{ID: "asker"}}))
 	for _, w := range out.Writes {
@@ -101,7 +102,7 @@
 
 // stands says whether the keeper acknowledges a line with the word that it wants to
 // lead the next view.
-func stands(t *testing.T, k *keeper.Replica) bool {
+func stands(t *testing.T, k *replica.Replica) bool {
 	t.Helper()
 	view := k.View()
 	out := drive(k, stride, lineOf(wire.KindReplicate, wire.ReplicateRequest{
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/pool"
-	"sorrelloom/daemon/store"
+	"sorrelloom/daemon/storage"
 	"sorrelloom/daemon/transport"
 )
 
@@ -35,7 +35,7 @@
 	receiveQueue *transport.ReceiveQueue
 	counters     *transport.Counters
 	transport    *transport.Transport
-	store        *store.Store
+	store        *storage.Store
 	onWriteError WriteErrorHandler
 	OnAuditEntry func(machine.AuditEntry)
 	runners      []*Runner
@@ -59,7 +59,7 @@
 }
 
 // New makes a host without machines; Add brings them in, Run starts them.
-func New(address, listen string, s *store.Store, fatal WriteErrorHandler) *Host {
+func New(address, listen string, s *storage.Store, fatal WriteErrorHandler) *Host {
 	h := &Host{
 		address: address, listen: listen, started: time.Now(), store: s, onWriteError: fatal, counters: transport.NewCounters(),
 		stopped: make(chan struct{}), closed: make(chan struct{}), pending: map[uint64]chan any{},
@@ -188,7 +188,7 @@
 	in.WallTime = time.Now()
 	out := s.machine.Step(now, in)
 	for _, e := range out.LogEvents {
-		logline.Info(e.Name, e.Fields...)
+		logging.Info(e.Name, e.Fields...)
 	}
 	for _, send := range out.Messages {
 		s.send(send)
@@ -223,7 +223,7 @@
 func (s *Runner) send(send machine.OutgoingMessage) {
 	body, err := send.Encode()
 	if err != nil {
-		logline.Info("line_unsendable", "kind", send.Kind, "why", err.Error())
+		logging.Info("line_unsendable", "kind", send.Kind, "why", err.Error())
 		return
 	}
 	message := machine.Message{Version: machine.ProtocolVersion, Kind: send.Kind, From: s.host.address, CoalescingKey: send.CoalescingKey(), Body: body}
--- a/daemon/host/host_test.go
+++ b/daemon/host/host_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
 	"sorrelloom/daemon/transport"
 )
@@ -144,8 +144,8 @@
 	got := make(chan wire.SubscribeRequest, 2)
 	r.do = func(_ time.Duration, in machine.Input) (out machine.Output) {
 		if in.Request.ID > 0 {
-			out.Send("", wire.KindSubscribe, wire.SubscribeRequest{Position: ledger.LogPosition{Index: 1}})
-			out.Send("me", wire.KindSubscribe, wire.SubscribeRequest{Position: ledger.LogPosition{Index: 2}})
+			out.Send("", wire.KindSubscribe, wire.SubscribeRequest{Position: state.LogPosition{Index: 1}})
+			out.Send("me", wire.KindSubscribe, wire.SubscribeRequest{Position: state.LogPosition{Index: 2}})
 		}
 		if in.Message.Kind == wire.KindSubscribe {
 			var b wire.SubscribeRequest
--- a/daemon/logline/logline.go
+++ b/daemon/logging/logline.go
@@ -1,6 +1,6 @@
-// Package logline writes one line of key=value pairs for each event, through
+// Package logging writes one line of key=value pairs for each event, through
 // klog without its own headers.
-package logline
+package logging
 
 import (
 	"flag"
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -16,13 +16,13 @@
 	"time"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/core/member"
+	"sorrelloom/core/membership"
 	"sorrelloom/core/wire"
 	"sorrelloom/daemon/audit"
-	"sorrelloom/daemon/env"
 	"sorrelloom/daemon/host"
-	"sorrelloom/daemon/logline"
-	"sorrelloom/daemon/store"
+	"sorrelloom/daemon/logging"
+	"sorrelloom/daemon/settings"
+	"sorrelloom/daemon/storage"
 	"sorrelloom/daemon/web"
 )
 
@@ -52,21 +52,21 @@
 }
 
 // Main runs one daemon to its end and gives the exit code.
-func Main(role string, keeper bool, build func(env.Settings, machine.StoredState) (Daemon, error)) int {
-	e, err := env.Parse(role, keeper, os.Args[1:])
-	if errors.Is(err, env.ErrInfoPrinted) {
+func Main(role string, keeper bool, build func(settings.Settings, machine.StoredState) (Daemon, error)) int {
+	e, err := settings.Parse(role, keeper, os.Args[1:])
+	if errors.Is(err, settings.ErrInfoPrinted) {
 		return 0
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	logline.Init(role + "@" + e.Address)
-	defer logline.Flush()
-	var data *store.Store
+	logging.Init(role + "@" + e.Address)
+	defer logging.Flush()
+	var data *storage.Store
 	var stored machine.StoredState
 	if keeper {
-		if data, stored, err = store.Open(e.DataDir); err != nil {
+		if data, stored, err = storage.Open(e.DataDir); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 3
 		}
@@ -87,21 +87,21 @@
 	if e.AuditEnabled {
 		// The audit must never stop scheduling: without it the keeper goes on.
 		if log, err := audit.Open(filepath.Join(e.DataDir, "audit"), built.ID); err != nil {
-			logline.Info("audit_failed", "why", err.Error())
+			logging.Info("audit_failed", "why", err.Error())
 		} else {
 			h.OnAuditEntry = func(a machine.AuditEntry) {
 				if !log.TryAppend(a) {
-					logline.Info("audit_dropped", "sequence", a.Index)
+					logging.Info("audit_dropped", "sequence", a.Index)
 				}
 			}
 			log.Run()
 		}
 	}
-	h.Add(member.New(member.Config{
+	h.Add(membership.New(membership.Config{
 		Self:  wire.Node{ID: built.ID, Role: role, Zone: e.Zone, Address: e.Address, HTTPAddress: e.HTTPAddress, Incarnation: time.Now().UnixMilli()},
 		Seeds: e.Seeds, Seed: RandomID(),
 	}), wire.KindShuffle, wire.KindShuffleReply)
-	server := web.New(env.MustListen(e.HTTPAddress), built.Diagnostics(h, main))
+	server := web.New(settings.MustListen(e.HTTPAddress), built.Diagnostics(h, main))
 	if built.API {
 		server.ServeAPI(main)
 	}
@@ -110,28 +110,28 @@
 		return 1
 	}
 	server.Run()
-	logline.Info("started", "version", env.Release, "site", e.Zone, "http", e.HTTPAddress, "id", built.ID)
+	logging.Info("started", "version", settings.Release, "site", e.Zone, "http", e.HTTPAddress, "id", built.ID)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case err := <-failed:
-		logline.Info("store_failed", "why", err.Error())
+		logging.Info("store_failed", "why", err.Error())
 		return 4
 	case <-signals:
 	}
-	logline.Info("stopping")
+	logging.Info("stopping")
 	main.Step(machine.Input{Stop: true})
 	select {
 	case <-h.Stopped():
 	case <-time.After(stopTimeout):
-		logline.Info("stop_hurried", "why", "the hand-over took too long")
+		logging.Info("stop_hurried", "why", "the hand-over took too long")
 	case err := <-failed:
-		logline.Info("store_failed", "why", err.Error())
+		logging.Info("store_failed", "why", err.Error())
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	server.Close(ctx)
 	h.Close()
-	logline.Info("stopped")
+	logging.Info("stopped")
 	return 0
 }
--- a/daemon/env/env.go
+++ b/daemon/settings/env.go
@@ -1,7 +1,7 @@
-// Package env reads a daemon's settings from flags, the process environment
+// Package settings reads a daemon's settings from flags, the process environment
 // and a settings file, in that order of weight, and checks all of them at
 // start: every fault is named at once, and none is guessed away.
-package env
+package settings
 
 import (
 	"errors"
--- a/daemon/env/env_test.go
+++ b/daemon/settings/env_test.go
@@ -1,4 +1,4 @@
-package env
+package settings
 
 import (
 	"errors"
--- a/daemon/store/faults_test.go
+++ b/daemon/storage/faults_test.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import (
 	"fmt"
--- a/daemon/store/files.go
+++ b/daemon/storage/files.go
@@ -1,5 +1,6 @@
 // The file system, behind an interface that tests can put faults into.
-package store
+
+package storage
 
 import (
 	"errors"
--- a/daemon/store/frame.go
+++ b/daemon/storage/frame.go
@@ -1,5 +1,6 @@
 // Frames, which files are made of.
-package store
+
+package storage
 
 import (
 	"bytes"
--- a/daemon/store/item.go
+++ b/daemon/storage/item.go
@@ -1,5 +1,6 @@
 // Items, which the frames of snapshots and segments hold.
-package store
+
+package storage
 
 import (
 	"encoding/binary"
--- a/daemon/store/names.go
+++ b/daemon/storage/names.go
@@ -1,5 +1,6 @@
 // The names of the files in a data folder.
-package store
+
+package storage
 
 import (
 	"fmt"
--- a/daemon/store/own.go
+++ b/daemon/storage/own.go
@@ -1,5 +1,6 @@
 // The keeper's own records, which every snapshot has in full.
-package store
+
+package storage
 
 import (
 	"cmp"
--- a/daemon/store/power_test.go
+++ b/daemon/storage/power_test.go
@@ -1,6 +1,7 @@
 // Power is lost at every call to the file system, with every disk that may then be
 // there. What was reported must be found again, and what was not may be.
-package store
+
+package storage
 
 import (
 	"encoding/json"
--- a/daemon/store/recover.go
+++ b/daemon/storage/recover.go
@@ -1,5 +1,6 @@
 // Reading a data folder after a start.
-package store
+
+package storage
 
 import (
 	"encoding/binary"
--- a/daemon/store/snapshot.go
+++ b/daemon/storage/snapshot.go
@@ -1,5 +1,6 @@
 // Writing snapshots, and removing what they stand for.
-package store
+
+package storage
 
 import (
 	"encoding/binary"
--- a/daemon/store/store.go
+++ b/daemon/storage/store.go
@@ -1,4 +1,4 @@
-// Package store keeps what a keeper has on its disk: a log of commands, and
+// Package storage keeps what a keeper has on its disk: a log of commands, and
 // snapshots of the ledger that the log leads up to.
 //
 // A folder holds the files log-N and snapshot-N. Segment N of the log begins where
@@ -10,7 +10,7 @@
 // a loss of power a frame that is torn at the end of the last segment is cut off,
 // since it was never reported. Anything else that is not whole is refused with the
 // file's name, never repaired by guessing.
-package store
+package storage
 
 import (
 	"errors"
@@ -23,7 +23,7 @@
 	"github.com/joomcode/errorx"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 )
 
 var (
@@ -198,7 +198,7 @@
 			s.freeDiskSpace()
 		}
 		if waited == 0 || waited-lastLogged >= diskFullLogInterval {
-			logline.Info("disk_full", "file", path, "waitedMs", waited.Milliseconds())
+			logging.Info("disk_full", "file", path, "waitedMs", waited.Milliseconds())
 			lastLogged = waited
 		}
 		if !s.pause(delay) {
@@ -277,7 +277,7 @@
 	case errors.Is(err, errClosed):
 	case diskFull(err):
 		s.removeSegmentsBeforeSnapshot()
-		logline.Info("snapshot_put_off", "number", number, "why", err.Error())
+		logging.Info("snapshot_put_off", "number", number, "why", err.Error())
 	default:
 		s.snapshot.err = ErrUnusable.Wrap(err, "data file %s", s.path(snapshotName(number)))
 	}
--- a/daemon/store/store_test.go
+++ b/daemon/storage/store_test.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import (
 	"encoding/json"
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/joomcode/errorx"
 
-	"sorrelloom/core/keeper"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/replica"
 )
 
 func record(bucket, key, value string) machine.Record {
@@ -324,7 +324,7 @@
 		{Records: []machine.Record{identity}, Commands: []json.RawMessage{[]byte(`{"sequence":`)}},
 		{Records: []machine.Record{identity}, Commands: []json.RawMessage{[]byte(`{"sequence":2}`)}},
 	} {
-		if _, err := keeper.New(keeper.Config{Address: "1.1.1.1:1", NewID: "f"}, stored); err == nil {
+		if _, err := replica.New(replica.Config{Address: "1.1.1.1:1", NewID: "f"}, stored); err == nil {
 			t.Errorf("%v was taken", stored)
 		}
 	}
--- a/daemon/transport/connection.go
+++ b/daemon/transport/connection.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 )
 
 const (
@@ -189,7 +189,7 @@
 		c.writer.Write(frame.body)
 	}
 	if err := c.writer.Flush(); err != nil {
-		logline.Info("connection_lost", "to", c.address, "why", err.Error())
+		logging.Info("connection_lost", "to", c.address, "why", err.Error())
 		for _, frame := range frames {
 			c.drop(frame, DropUnsent)
 		}
--- a/daemon/transport/messages_test.go
+++ b/daemon/transport/messages_test.go
@@ -15,8 +15,8 @@
 	"testing"
 
 	"sorrelloom/core/goldentest"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
 )
 
@@ -54,29 +54,29 @@
 }
 
 // partOf gives the part of a command that belongs to its kind.
-var partOf = map[string]func(to *ledger.Command, from ledger.Command){
-	ledger.KindAcceptJob:          func(to *ledger.Command, from ledger.Command) { to.Job = from.Job },
-	ledger.KindHeartbeat:          func(to *ledger.Command, from ledger.Command) { to.Heartbeat = from.Heartbeat },
-	ledger.KindGrantLeases:        func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
-	ledger.KindPreempt:            func(to *ledger.Command, from ledger.Command) { to.Grant = from.Grant },
-	ledger.KindChangeConfig:       func(to *ledger.Command, from ledger.Command) { to.ConfigChange = from.ConfigChange },
-	ledger.KindSchedulerHeartbeat: func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
-	ledger.KindTransferLeadership: func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
-	ledger.KindTakeLeadership:     func(to *ledger.Command, from ledger.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
-	ledger.KindRenewWorkers:       func(to *ledger.Command, from ledger.Command) { to.Renewals = from.Renewals },
-	ledger.KindCancelJob:          noPart,
-	ledger.KindDrainZone:          noPart,
-	ledger.KindDrainWorker:        noPart,
-	ledger.KindConfirmWorkerDead:  noPart,
-	ledger.KindTick:               noPart,
-	ledger.KindReadJob:            noPart,
-	ledger.KindReadWaitingCount:   noPart,
-	ledger.KindReadConfig:         noPart,
-	ledger.KindReadRequest:        noPart,
-	ledger.KindConfirmLeadership:  noPart,
+var partOf = map[string]func(to *state.Command, from state.Command){
+	state.KindAcceptJob:          func(to *state.Command, from state.Command) { to.Job = from.Job },
+	state.KindHeartbeat:          func(to *state.Command, from state.Command) { to.Heartbeat = from.Heartbeat },
+	state.KindGrantLeases:        func(to *state.Command, from state.Command) { to.Grant = from.Grant },
+	state.KindPreempt:            func(to *state.Command, from state.Command) { to.Grant = from.Grant },
+	state.KindChangeConfig:       func(to *state.Command, from state.Command) { to.ConfigChange = from.ConfigChange },
+	state.KindSchedulerHeartbeat: func(to *state.Command, from state.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	state.KindTransferLeadership: func(to *state.Command, from state.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	state.KindTakeLeadership:     func(to *state.Command, from state.Command) { to.SchedulerHeartbeat = from.SchedulerHeartbeat },
+	state.KindRenewWorkers:       func(to *state.Command, from state.Command) { to.Renewals = from.Renewals },
+	state.KindCancelJob:          noPart,
+	state.KindDrainZone:          noPart,
+	state.KindDrainWorker:        noPart,
+	state.KindConfirmWorkerDead:  noPart,
+	state.KindTick:               noPart,
+	state.KindReadJob:            noPart,
+	state.KindReadWaitingCount:   noPart,
+	state.KindReadConfig:         noPart,
+	state.KindReadRequest:        noPart,
+	state.KindConfirmLeadership:  noPart,
 }
 
-func noPart(*ledger.Command, ledger.Command) {}
+func noPart(*state.Command, state.Command) {}
 
 // message is one to be recorded, under a name of its own.
 type message struct {
@@ -102,13 +102,13 @@
 }
 
 // commandOf gives a command of a kind with all fields of that kind set.
-func commandOf(t *testing.T, kind string) ledger.Command {
+func commandOf(t *testing.T, kind string) state.Command {
 	t.Helper()
-	filled := goldentest.Filled(t, ledger.Command{}).(ledger.Command)
+	filled := goldentest.Filled(t, state.Command{}).(state.Command)
 	cmd := filled
 	cmd.Kind = kind
-	cmd.Job, cmd.Heartbeat, cmd.Renewals = ledger.JobSpec{}, ledger.Heartbeat{}, nil
-	cmd.Grant, cmd.ConfigChange, cmd.SchedulerHeartbeat = ledger.Grant{}, ledger.ConfigChange{}, ledger.SchedulerHeartbeat{}
+	cmd.Job, cmd.Heartbeat, cmd.Renewals = state.JobSpec{}, state.Heartbeat{}, nil
+	cmd.Grant, cmd.ConfigChange, cmd.SchedulerHeartbeat = state.Grant{}, state.ConfigChange{}, state.SchedulerHeartbeat{}
 	partOf[kind](&cmd, filled)
 	return cmd
 }
@@ -116,8 +116,8 @@
 // carriers are the messages that carry encoded commands and records.
 func carriers(t *testing.T) []message {
 	t.Helper()
-	whole := ledger.Encode(goldentest.Filled(t, ledger.Command{}).(ledger.Command)).Encoded
-	commands := []json.RawMessage{whole, ledger.Encode(commandOf(t, ledger.KindTick)).Encoded}
+	whole := state.Encode(goldentest.Filled(t, state.Command{}).(state.Command)).Encoded
+	commands := []json.RawMessage{whole, state.Encode(commandOf(t, state.KindTick)).Encoded}
 	replicate := goldentest.Filled(t, wire.ReplicateRequest{}).(wire.ReplicateRequest)
 	replicate.Commands = commands
 	news := goldentest.Filled(t, wire.FeedUpdate{}).(wire.FeedUpdate)
@@ -254,7 +254,7 @@
 			t.Errorf("messages of kind %s are not recorded", kind)
 		}
 	}
-	kinds = constants(t, "../../core/ledger", "Kind")
+	kinds = constants(t, "../../core/state", "Kind")
 	if len(kinds) != len(partOf) {
 		t.Errorf("%d kinds of commands in the source, %d recorded", len(kinds), len(partOf))
 	}
--- a/daemon/transport/transport.go
+++ b/daemon/transport/transport.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/pool"
 )
 
@@ -100,7 +100,7 @@
 		case t.isClosed():
 			return
 		default:
-			logline.Info("accept_failed", "why", err.Error())
+			logging.Info("accept_failed", "why", err.Error())
 			time.Sleep(acceptRetryDelay)
 		}
 	}
@@ -129,7 +129,7 @@
 			return
 		}
 		if err != nil {
-			logline.Info("connection_closed", "peer", conn.RemoteAddr().String(), "why", err.Error())
+			logging.Info("connection_closed", "peer", conn.RemoteAddr().String(), "why", err.Error())
 			return
 		}
 		if !peerSignalled {
@@ -162,7 +162,7 @@
 func (t *Transport) Send(to string, message machine.Message) {
 	header, err := EncodeFrameHeader(message)
 	if err != nil {
-		logline.Info("line_unsendable", "kind", message.Kind, "why", err.Error())
+		logging.Info("line_unsendable", "kind", message.Kind, "why", err.Error())
 		return
 	}
 	target := destination{to, ClassOf(message.Kind).Channel}
@@ -206,7 +206,7 @@
 		case <-ticker.C:
 		}
 		if counts := t.counters.TakeAndReset(); len(counts.Dropped) > 0 {
-			logline.Info("frames_dropped", counts.Fields()...)
+			logging.Info("frames_dropped", counts.Fields()...)
 		}
 	}
 }
--- a/daemon/web/web.go
+++ b/daemon/web/web.go
@@ -19,11 +19,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/front"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/status"
 	"sorrelloom/daemon/host"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/pool"
 )
 
@@ -69,9 +69,9 @@
 	})
 	h.GET("/status", func(_ context.Context, c *app.RequestContext) { writeJSON(c, 200, page.Status()) })
 	h.GET("/metrics", adaptor.HertzHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{})))
-	h.NoRoute(func(_ context.Context, c *app.RequestContext) { writeError(c, code.UnknownName, "no such path") })
+	h.NoRoute(func(_ context.Context, c *app.RequestContext) { writeError(c, status.UnknownName, "no such path") })
 	h.NoMethod(func(_ context.Context, c *app.RequestContext) {
-		writeError(c, code.UnknownName, "no such method on this path")
+		writeError(c, status.UnknownName, "no such method on this path")
 	})
 	return &Server{h}
 }
@@ -79,7 +79,7 @@
 func (s *Server) Run() {
 	pool.Go(func() {
 		if err := s.engine.Run(); err != nil {
-			logline.Info("http_ended", "why", err.Error())
+			logging.Info("http_ended", "why", err.Error())
 		}
 	})
 }
@@ -94,8 +94,8 @@
 	c.Data(status, "application/json", append(data, '\n'))
 }
 
-func writeError(c *app.RequestContext, reason code.Code, why string) {
-	writeJSON(c, reason.HTTPStatus(), front.Outcome{Code: reason, Name: reason.String(), Reason: why})
+func writeError(c *app.RequestContext, reason status.Code, why string) {
+	writeJSON(c, reason.HTTPStatus(), gateway.Outcome{Code: reason, Name: reason.String(), Reason: why})
 }
 
 // Route is one call of the API; the table is what docs/api.md is checked with.
@@ -105,24 +105,24 @@
 }
 
 var Routes = []Route{
-	{"POST", "/v1/jobs", front.RequestSubmit, false},
-	{"GET", "/v1/jobs", front.RequestJobs, false},
-	{"GET", "/v1/jobs/:name", front.RequestStatus, false},
-	{"DELETE", "/v1/jobs/:name", front.RequestCancel, false},
-	{"POST", "/v1/beats", front.RequestHeartbeat, false},
-	{"GET", "/v1/plan", front.RequestConfigGet, false},
-	{"PUT", "/v1/plan", front.RequestConfigPut, false},
-	{"PATCH", "/v1/plan", front.RequestConfigPatch, false},
-	{"POST", "/v1/plan/check", front.RequestConfigCheck, false},
-	{"POST", "/v1/sites/:name/empty", front.RequestDrainZone, true},
-	{"POST", "/v1/sites/:name/refill", front.RequestDrainZone, false},
-	{"GET", "/v1/workers", front.RequestWorkers, false},
-	{"POST", "/v1/workers/:name/drain", front.RequestDrainWorker, true},
-	{"POST", "/v1/workers/:name/undrain", front.RequestDrainWorker, false},
-	{"POST", "/v1/workers/:name/gone", front.RequestConfirmDead, true},
-	{"GET", "/v1/nodes", front.RequestNodes, false},
-	{"GET", "/v1/duties", front.RequestLeaderships, false},
-	{"POST", "/v1/duties/:name/pass", front.RequestMoveLeadership, false},
+	{"POST", "/v1/jobs", gateway.RequestSubmit, false},
+	{"GET", "/v1/jobs", gateway.RequestJobs, false},
+	{"GET", "/v1/jobs/:name", gateway.RequestStatus, false},
+	{"DELETE", "/v1/jobs/:name", gateway.RequestCancel, false},
+	{"POST", "/v1/beats", gateway.RequestHeartbeat, false},
+	{"GET", "/v1/plan", gateway.RequestConfigGet, false},
+	{"PUT", "/v1/plan", gateway.RequestConfigPut, false},
+	{"PATCH", "/v1/plan", gateway.RequestConfigPatch, false},
+	{"POST", "/v1/plan/check", gateway.RequestConfigCheck, false},
+	{"POST", "/v1/sites/:name/empty", gateway.RequestDrainZone, true},
+	{"POST", "/v1/sites/:name/refill", gateway.RequestDrainZone, false},
+	{"GET", "/v1/workers", gateway.RequestWorkers, false},
+	{"POST", "/v1/workers/:name/drain", gateway.RequestDrainWorker, true},
+	{"POST", "/v1/workers/:name/undrain", gateway.RequestDrainWorker, false},
+	{"POST", "/v1/workers/:name/gone", gateway.RequestConfirmDead, true},
+	{"GET", "/v1/nodes", gateway.RequestNodes, false},
+	{"GET", "/v1/duties", gateway.RequestLeaderships, false},
+	{"POST", "/v1/duties/:name/pass", gateway.RequestMoveLeadership, false},
 }
 
 // API serves the routes from a front's shard.
@@ -130,18 +130,18 @@
 	for _, route := range Routes {
 		s.engine.Handle(route.Method, route.Path, func(ctx context.Context, c *app.RequestContext) {
 			if len(c.Request.Body()) > maxBodyBytes {
-				writeError(c, code.TooLarge, fmt.Sprintf("the body has %d bytes, %d are taken", len(c.Request.Body()), maxBodyBytes))
+				writeError(c, status.TooLarge, fmt.Sprintf("the body has %d bytes, %d are taken", len(c.Request.Body()), maxBodyBytes))
 				return
 			}
 			ask, err := parseRequest(c, route)
 			if err != nil {
-				writeError(c, code.Malformed, err.Error())
+				writeError(c, status.Malformed, err.Error())
 				return
 			}
 			v, ok := shard.Do(ctx, ask)
-			reply, good := v.(front.Reply)
+			reply, good := v.(gateway.Reply)
 			if !ok || !good {
-				writeError(c, code.Internal, "the front gave no answer")
+				writeError(c, status.Internal, "the front gave no answer")
 				return
 			}
 			if reply.RetryAfter > 0 {
@@ -177,7 +177,7 @@
 			return ask, fmt.Errorf("?base: %q is not a plan sequence", text)
 		}
 		ask.BaseVersion = base
-	} else if route.Kind == front.RequestConfigPut || route.Kind == front.RequestConfigPatch {
+	} else if route.Kind == gateway.RequestConfigPut || route.Kind == gateway.RequestConfigPatch {
 		if ask.Force = c.Query("force") == "true"; !ask.Force {
 			return ask, fmt.Errorf("?base: say which plan sequence this change is made on, or force=true")
 		}
--- a/tool/cmd/standin/main.go
+++ b/tool/cmd/fakeworker/main.go
@@ -20,19 +20,19 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 	"github.com/peterbourgon/ff/v3"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/front"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/gateway"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 	"sorrelloom/daemon/client"
-	"sorrelloom/daemon/env"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/pool"
-	"sorrelloom/tool/worker"
+	"sorrelloom/daemon/settings"
+	"sorrelloom/tool/fakeworker"
 )
 
 type standin struct {
 	mu      sync.Mutex
-	worker  *worker.Worker
+	worker  *fakeworker.Worker
 	client  *client.Client
 	started time.Time
 	timer   *time.Timer
@@ -60,12 +60,12 @@
 		fmt.Fprintln(os.Stderr, "standin: -id, -site, -service, -fronts and -http are needed, -slots must be over 0")
 		os.Exit(2)
 	}
-	logline.Init("standin@" + *id)
-	e := worker.Env{ID: *id, Site: *site, Rack: *rack, Service: *service, Total: ledger.Resources{Slots: *slots, Cores: *cores}, Incarnation: time.Now().UnixMilli()}
+	logging.Init("standin@" + *id)
+	e := fakeworker.Env{ID: *id, Site: *site, Rack: *rack, Service: *service, Total: state.Resources{Slots: *slots, Cores: *cores}, Incarnation: time.Now().UnixMilli()}
 	if *labels != "" {
 		e.Labels = strings.Split(*labels, ",")
 	}
-	s := &standin{worker: worker.New(e), client: client.MustNew(strings.Split(*fronts, ",")), started: time.Now()}
+	s := &standin{worker: fakeworker.New(e), client: client.MustNew(strings.Split(*fronts, ",")), started: time.Now()}
 	s.serve(*control)
 	s.mu.Lock()
 	s.timer = time.AfterFunc(time.Millisecond, func() { pool.Go(s.tick) })
@@ -85,23 +85,23 @@
 	s.timer.Reset(max(time.Millisecond, s.worker.NextTimer()-now))
 }
 
-func (s *standin) send(beat ledger.Heartbeat) {
+func (s *standin) send(beat state.Heartbeat) {
 	s.mu.Lock()
 	cut := s.cut
 	s.mu.Unlock()
-	var view front.HeartbeatView
+	var view gateway.HeartbeatView
 	good := false
 	if !cut {
 		body, err := json.Marshal(beat)
 		if err != nil {
 			panic(err)
 		}
-		r, err := s.client.CallOnce("POST", "/v1/beats?hold="+worker.HoldFor.String(), body, nil, worker.DropLate+time.Second)
+		r, err := s.client.CallOnce("POST", "/v1/beats?hold="+fakeworker.HoldFor.String(), body, nil, fakeworker.DropLate+time.Second)
 		if err == nil && r.Decode(&view) == nil {
 			good = r.Status == 200
 		}
-		if !good && view.Code != code.StaleHeartbeat {
-			logline.Info("beat_bounced", "number", beat.Number, "status", r.Status, "why", view.Reason)
+		if !good && view.Code != status.StaleHeartbeat {
+			logging.Info("beat_bounced", "number", beat.Number, "status", r.Status, "why", view.Reason)
 		}
 	}
 	s.mu.Lock()
@@ -111,7 +111,7 @@
 }
 
 func (s *standin) serve(address string) {
-	h := server.New(server.WithListener(env.MustListen(address)), server.WithDisablePrintRoute(true))
+	h := server.New(server.WithListener(settings.MustListen(address)), server.WithDisablePrintRoute(true))
 	reply := func(c *app.RequestContext, v any) {
 		data, err := json.Marshal(v)
 		if err != nil {
@@ -121,7 +121,7 @@
 	}
 	h.GET("/runs", func(_ context.Context, c *app.RequestContext) {
 		s.mu.Lock()
-		runs := append(append([]worker.Run{}, s.worker.Runs...), s.worker.Open()...)
+		runs := append(append([]fakeworker.Run{}, s.worker.Runs...), s.worker.Open()...)
 		s.mu.Unlock()
 		for i := range runs {
 			runs[i].From += time.Duration(s.started.UnixNano())
@@ -133,7 +133,7 @@
 	})
 	h.POST("/faults", func(_ context.Context, c *app.RequestContext) {
 		var order struct {
-			worker.Faults
+			fakeworker.Faults
 			Leave bool `json:"leave"`
 			Cut   bool `json:"cut"`
 		}
@@ -153,7 +153,7 @@
 	})
 	pool.Go(func() {
 		if err := h.Run(); err != nil {
-			logline.Info("http_ended", "why", err.Error())
+			logging.Info("http_ended", "why", err.Error())
 		}
 	})
 }
--- a/tool/deploy/deploy.go
+++ b/tool/deploy/deploy.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"sort"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 // Traffic is one kind of job: how often it comes and what it is made of.
@@ -68,15 +68,15 @@
 
 // Job makes the nth job of a kind. Steps are layers of tasks; each task of a
 // layer depends on all of the layer before.
-func (t Traffic) NewJob(service, id string) ledger.JobSpec {
-	spec := ledger.JobSpec{ID: id, Service: service, Class: t.Class}
+func (t Traffic) NewJob(service, id string) state.JobSpec {
+	spec := state.JobSpec{ID: id, Service: service, Class: t.Class}
 	var before []string
 	for step, width := range t.StepWidths {
 		var layer []string
 		for i := range width {
 			name := fmt.Sprintf("s%d-%d", step+1, i+1)
-			spec.Tasks = append(spec.Tasks, ledger.TaskSpec{
-				ID: name, DependsOn: before, Resources: ledger.Resources{Slots: 1, Cores: t.Cores}, Payload: fmt.Appendf(nil, `{"runMs":%d}`, t.RunMs),
+			spec.Tasks = append(spec.Tasks, state.TaskSpec{
+				ID: name, DependsOn: before, Resources: state.Resources{Slots: 1, Cores: t.Cores}, Payload: fmt.Appendf(nil, `{"runMs":%d}`, t.RunMs),
 			})
 			layer = append(layer, name)
 		}
--- a/tool/e2e/e2e_test.go
+++ b/tool/e2e/e2e_test.go
@@ -1,6 +1,7 @@
 // One real fleet of processes on loopback: it is founded, takes a plan and
 // jobs, loses its primary keeper by SIGKILL, and goes on. Every wait is for an
 // event, bounded by a time far above what it takes.
+
 package e2e
 
 import (
@@ -14,18 +15,18 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/front"
-	"sorrelloom/core/keeper"
-	"sorrelloom/core/ledger"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/config"
+	"sorrelloom/core/gateway"
+	"sorrelloom/core/replica"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 	"sorrelloom/daemon/audit"
 	"sorrelloom/daemon/client"
 	"sorrelloom/daemon/pool"
 	"sorrelloom/tool/deploy"
+	"sorrelloom/tool/fakeworker"
 	"sorrelloom/tool/fleet"
 	"sorrelloom/tool/sim"
-	"sorrelloom/tool/worker"
 )
 
 const patience = 60 * time.Second
@@ -38,8 +39,8 @@
 		panic(err)
 	}
 	bin = folder
-	build := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "sorrelloom/daemon/cmd/keeper",
-		"sorrelloom/daemon/cmd/scheduler", "sorrelloom/daemon/cmd/front", "sorrelloom/tool/cmd/standin")
+	build := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "sorrelloom/daemon/cmd/replica",
+		"sorrelloom/daemon/cmd/scheduler", "sorrelloom/daemon/cmd/gateway", "sorrelloom/tool/cmd/fakeworker")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		os.Exit(1)
@@ -99,7 +100,7 @@
 	return f
 }
 
-func submit(t *testing.T, f *fleet.Fleet, spec ledger.JobSpec) {
+func submit(t *testing.T, f *fleet.Fleet, spec state.JobSpec) {
 	t.Helper()
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -116,7 +117,7 @@
 
 func finish(t *testing.T, f *fleet.Fleet, id string) {
 	t.Helper()
-	var view front.JobView
+	var view gateway.JobView
 	ok := fleet.Poll(patience, func() bool {
 		r, err := f.Client.Call("GET", "/v1/jobs/"+id+"?wait=2s", nil, nil, 10*time.Second)
 		if err == nil && r.Status == 404 {
@@ -130,16 +131,16 @@
 }
 
 // records collects the workers' own records, which know nothing of the ledger.
-func records(t *testing.T, f *fleet.Fleet, d deploy.Deployment) (runs []worker.Run, workers []worker.Env) {
+func records(t *testing.T, f *fleet.Fleet, d deploy.Deployment) (runs []fakeworker.Run, workers []fakeworker.Env) {
 	t.Helper()
 	for _, name := range f.ProcessNames() {
 		p, err := f.Process(name)
 		if err != nil || p.Role != "standin" {
 			continue
 		}
-		workers = append(workers, worker.Env{ID: name, Site: p.Zone, Service: d.Service, Total: ledger.Resources{Slots: deploy.SlotsPerWorker, Cores: d.CoresPerWorker}})
+		workers = append(workers, fakeworker.Env{ID: name, Site: p.Zone, Service: d.Service, Total: state.Resources{Slots: deploy.SlotsPerWorker, Cores: d.CoresPerWorker}})
 		r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/runs", nil, nil, 5*time.Second)
-		var own []worker.Run
+		var own []fakeworker.Run
 		if err != nil || r.Decode(&own) != nil {
 			t.Fatalf("runs of %s: %v", name, err)
 		}
@@ -149,12 +150,12 @@
 }
 
 // judge has the oracle judge them. Every task of the jobs must have ended well once.
-func judge(t *testing.T, f *fleet.Fleet, d deploy.Deployment, jobs []ledger.JobSpec) {
+func judge(t *testing.T, f *fleet.Fleet, d deploy.Deployment, jobs []state.JobSpec) {
 	t.Helper()
 	runs, workers := records(t, f, d)
 	story := sim.Story{Runs: runs, Workers: workers}
 	for _, spec := range jobs {
-		story.Jobs = append(story.Jobs, sim.JobNote{Spec: spec, State: ledger.Done})
+		story.Jobs = append(story.Jobs, sim.JobNote{Spec: spec, State: state.Done})
 	}
 	broken, _ := sim.JudgeStory(story)
 	for _, b := range broken {
@@ -178,14 +179,14 @@
 func TestFleetServesAndOutlivesItsPrimary(t *testing.T) {
 	f := start(t, "reseller", 3, 3, 2, 4)
 	d, _ := deploy.Get("reseller")
-	var jobs []ledger.JobSpec
+	var jobs []state.JobSpec
 	for i := range 12 {
 		jobs = append(jobs, d.Traffic[i%3].NewJob(d.Service, fmt.Sprintf("before-%d", i)))
 		submit(t, f, jobs[i])
 	}
 	large, err := f.Client.Call("POST", "/v1/jobs", make([]byte, 5<<20), nil, 10*time.Second)
-	var out front.Outcome
-	if err != nil || large.Status != 413 || large.Decode(&out) != nil || out.Code != code.TooLarge {
+	var out gateway.Outcome
+	if err != nil || large.Status != 413 || large.Decode(&out) != nil || out.Code != status.TooLarge {
 		t.Errorf("a body of 5 MiB: %v %d %s", err, large.Status, large.Body)
 	}
 	primary := f.Primary()
@@ -213,7 +214,7 @@
 func TestFleetUnderFreezesCutsAndAnEmptyKeeper(t *testing.T) {
 	f := start(t, "podcast", 3, 3, 3, 4)
 	d, _ := deploy.Get("podcast")
-	var jobs []ledger.JobSpec
+	var jobs []state.JobSpec
 	wave := func(name string) {
 		t.Helper()
 		var ids []string
@@ -283,7 +284,7 @@
 		if err != nil {
 			return false
 		}
-		var status keeper.Status
+		var status replica.Status
 		r, err := f.Client.CallAddress(p.HTTPAddress, "GET", "/status", nil, nil, time.Second)
 		if err != nil || r.Decode(&status) != nil {
 			return false
@@ -323,7 +324,7 @@
 func race(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 	r, err := f.Client.Call("GET", "/v1/plan", nil, nil, 10*time.Second)
-	var now plan.Config
+	var now config.Config
 	if err != nil || r.Decode(&now) != nil {
 		t.Fatal(err, string(r.Body))
 	}
@@ -342,7 +343,7 @@
 	if a.Status != 200 {
 		a, b = b, a
 	}
-	var lost front.Outcome
+	var lost gateway.Outcome
 	if a.Status != 200 || b.Status != 409 || b.Decode(&lost) != nil || lost.Version != now.Version+1 {
 		t.Errorf("one wins, the other is told the sequence: %d %s, %d %s", a.Status, a.Body, b.Status, b.Body)
 	}
@@ -376,18 +377,18 @@
 			t.Fatalf("%s %s: %d %s", method, path, r.Status, r.Body)
 		}
 	}
-	hand := func(spec ledger.JobSpec) int {
+	hand := func(spec state.JobSpec) int {
 		submit(t, f, spec)
 		story.Jobs = append(story.Jobs, sim.JobNote{Spec: spec})
 		return len(story.Jobs) - 1
 	}
 	see := func(i int) string {
-		var view front.JobView
+		var view gateway.JobView
 		r := call("GET", "/v1/jobs/"+story.Jobs[i].Spec.ID, nil)
 		if r.Status != 200 || r.Decode(&view) != nil {
 			t.Fatalf("status of %s: %d %s", story.Jobs[i].Spec.ID, r.Status, r.Body)
 		}
-		if story.Jobs[i].State = view.State; view.State == ledger.Done || view.State == ledger.Failed || view.State == ledger.Cancelled {
+		if story.Jobs[i].State = view.State; view.State == state.Done || view.State == state.Failed || view.State == state.Cancelled {
 			story.Jobs[i].Over = clock()
 		}
 		return view.State
@@ -400,7 +401,7 @@
 	}
 	many := deploy.Traffic{Class: "check", StepWidths: []int{80}, RunMs: 1500, Cores: 1}
 	cancelled := hand(many.NewJob(d.Service, "cancelled"))
-	until(cancelled, ledger.Running)
+	until(cancelled, state.Running)
 	must("DELETE", "/v1/jobs/cancelled", nil)
 	story.Jobs[cancelled].Cancelled = clock()
 
@@ -412,8 +413,8 @@
 	spent := deploy.Traffic{Class: "lookup", StepWidths: []int{1}, RunMs: 20, Cores: 1}.NewJob(d.Service, "spent")
 	spent.Tasks[0].Payload, spent.Tasks[0].MaxFailures = []byte(`{"runMs":20,"fail":true}`), 2
 	failed := hand(spent)
-	until(failed, ledger.Failed)
-	until(whole, ledger.Done)
+	until(failed, state.Failed)
+	until(whole, state.Done)
 
 	if r := call("POST", "/v1/sites/nowhere/empty", nil); r.Status != 404 {
 		t.Errorf("a site that does not exist: %d %s", r.Status, r.Body)
@@ -434,7 +435,7 @@
 	last := 0
 	for i := 0; clock() < story.Emptied[0].From+8*time.Second; i++ {
 		last = hand(d.Traffic[0].NewJob(d.Service, fmt.Sprintf("short-%d", i)))
-		until(last, ledger.Done)
+		until(last, state.Done)
 	}
 	must("POST", "/v1/sites/b/refill", nil)
 	story.Emptied[0].To = clock()
@@ -455,7 +456,7 @@
 			t.Errorf("%s does not show the new plan", name)
 		}
 	}
-	until(cancelled, ledger.Cancelled)
+	until(cancelled, state.Cancelled)
 	story.Runs, story.Workers = records(t, f, d)
 	broken, judged := sim.JudgeStory(story)
 	for _, b := range broken {
@@ -477,7 +478,7 @@
 	}
 	// The same records with one start too many must be found.
 	spoiled := story
-	spoiled.Runs = append(slices.Clone(story.Runs), worker.Run{Attempt: ledger.Attempt{Job: "cancelled", Task: "s1-80", Number: 9}, Worker: "standin-2", Class: "check", Service: d.Service, From: story.Emptied[0].From + 6*time.Second, To: story.Emptied[0].From + 7*time.Second, Outcome: "stopped"})
+	spoiled.Runs = append(slices.Clone(story.Runs), fakeworker.Run{Attempt: state.Attempt{Job: "cancelled", Task: "s1-80", Number: 9}, Worker: "standin-2", Class: "check", Service: d.Service, From: story.Emptied[0].From + 6*time.Second, To: story.Emptied[0].From + 7*time.Second, Outcome: "stopped"})
 	if found, _ := sim.JudgeStory(spoiled); len(found) < 2 {
 		t.Errorf("a start in an emptied site of a cancelled job is not found: %v", found)
 	}
--- a/tool/worker/worker.go
+++ b/tool/fakeworker/worker.go
@@ -1,16 +1,16 @@
-// Package worker is a stand-in for the users' workers, written to the contract
+// Package fakeworker is a stand-in for the users' workers, written to the contract
 // in docs/workers.md, with faults that can be switched on. It is a state
 // machine without input or output, driven by the standin program and by the
 // simulator. It keeps its own record of every run, from which the promises are
 // checked without asking the ledger.
-package worker
+package fakeworker
 
 import (
 	"encoding/json"
 	"slices"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 // Faults are what a worker can be told to do wrong.
@@ -28,21 +28,21 @@
 type Env struct {
 	ID, Site, Rack, Service string
 	Labels                  []string
-	Total                   ledger.Resources
+	Total                   state.Resources
 	Incarnation             int64
 }
 
 // Run is one line of the worker's own record.
 type Run struct {
-	ledger.Attempt
-	Worker  string           `json:"worker"`
-	Class   string           `json:"class"`
-	Service string           `json:"service"`
-	Room    ledger.Resources `json:"room"`
-	Gang    string           `json:"gang,omitempty"`
-	From    time.Duration    `json:"from"`
-	To      time.Duration    `json:"to"`
-	Outcome string           `json:"outcome"`
+	state.Attempt
+	Worker  string          `json:"worker"`
+	Class   string          `json:"class"`
+	Service string          `json:"service"`
+	Room    state.Resources `json:"room"`
+	Gang    string          `json:"gang,omitempty"`
+	From    time.Duration   `json:"from"`
+	To      time.Duration   `json:"to"`
+	Outcome string          `json:"outcome"`
 }
 
 // Payload is what the stand-in understands of a task. FetchMs is what each input
@@ -61,7 +61,7 @@
 )
 
 type running struct {
-	start  ledger.StartOrder
+	start  state.StartOrder
 	from   time.Duration
 	until  time.Duration
 	fail   bool
@@ -78,9 +78,9 @@
 	waiting  bool
 	nextBeat time.Duration
 	cutoff   time.Duration
-	run      map[ledger.Attempt]running
-	ended    []ledger.AttemptResult
-	seen     map[ledger.Attempt]bool
+	run      map[state.Attempt]running
+	ended    []state.AttemptResult
+	seen     map[state.Attempt]bool
 	leaving  bool
 	changed  bool
 	count    int
@@ -88,15 +88,15 @@
 }
 
 func New(env Env) *Worker {
-	return &Worker{env: env, run: map[ledger.Attempt]running{}, seen: map[ledger.Attempt]bool{}}
+	return &Worker{env: env, run: map[state.Attempt]running{}, seen: map[state.Attempt]bool{}}
 }
 
 // Carry takes over the ends that an earlier incarnation noted and that were not
 // acknowledged; a real worker keeps them on its disk.
-func (w *Worker) Carry(ends []ledger.AttemptResult) { w.ended = append(w.ended, ends...) }
+func (w *Worker) Carry(ends []state.AttemptResult) { w.ended = append(w.ended, ends...) }
 
 // Unacked gives the ends to carry.
-func (w *Worker) Unacked() []ledger.AttemptResult { return slices.Clone(w.ended) }
+func (w *Worker) Unacked() []state.AttemptResult { return slices.Clone(w.ended) }
 
 func (w *Worker) Set(f Faults)       { w.faults = f }
 func (w *Worker) ID() string         { return w.env.ID }
@@ -104,22 +104,22 @@
 func (w *Worker) Idle() bool         { return len(w.run) == 0 && len(w.ended) == 0 }
 func (w *Worker) Incarnation() int64 { return w.env.Incarnation }
 
-func (w *Worker) Leave()                  { w.leaving, w.changed = true, true }
-func (w *Worker) Leaving() bool           { return w.leaving }
-func (w *Worker) Faults() Faults          { return w.faults }
-func (w *Worker) Total() ledger.Resources { return w.env.Total }
-func (w *Worker) Cutoff() time.Duration   { return w.cutoff }
+func (w *Worker) Leave()                 { w.leaving, w.changed = true, true }
+func (w *Worker) Leaving() bool          { return w.leaving }
+func (w *Worker) Faults() Faults         { return w.faults }
+func (w *Worker) Total() state.Resources { return w.env.Total }
+func (w *Worker) Cutoff() time.Duration  { return w.cutoff }
 
-func (w *Worker) close(a ledger.Attempt, now time.Duration, outcome, why string) {
+func (w *Worker) close(a state.Attempt, now time.Duration, outcome, why string) {
 	r := w.run[a]
 	delete(w.run, a)
 	w.Runs = append(w.Runs, Run{a, w.env.ID, r.start.Class, r.start.Service, r.start.Resources, r.start.Gang, r.from, now, outcome})
-	w.ended = append(w.ended, ledger.AttemptResult{Attempt: a, Succeeded: outcome == "good", Stopped: outcome == "stopped", Reason: why})
+	w.ended = append(w.ended, state.AttemptResult{Attempt: a, Succeeded: outcome == "good", Stopped: outcome == "stopped", Reason: why})
 	w.changed = true
 }
 
 // Tick ends what is due and says whether a beat is to be sent now.
-func (w *Worker) Tick(now time.Duration) (ledger.Heartbeat, bool) {
+func (w *Worker) Tick(now time.Duration) (state.Heartbeat, bool) {
 	for _, a := range w.attempts() {
 		r := w.run[a]
 		switch {
@@ -139,15 +139,15 @@
 	if w.changed || !w.waiting && now >= w.nextBeat || w.waiting && now > w.sentAt+DropLate {
 		return w.beat(now), true
 	}
-	return ledger.Heartbeat{}, false
+	return state.Heartbeat{}, false
 }
 
-func (w *Worker) attempts() []ledger.Attempt {
-	out := make([]ledger.Attempt, 0, len(w.run))
+func (w *Worker) attempts() []state.Attempt {
+	out := make([]state.Attempt, 0, len(w.run))
 	for a := range w.run {
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(a, b ledger.Attempt) int {
+	slices.SortFunc(out, func(a, b state.Attempt) int {
 		if a.String() < b.String() {
 			return -1
 		}
@@ -156,7 +156,7 @@
 	return out
 }
 
-func (w *Worker) beat(now time.Duration) ledger.Heartbeat {
+func (w *Worker) beat(now time.Duration) state.Heartbeat {
 	w.number++
 	w.sentAt, w.waiting, w.changed = now, true, false
 	free := w.env.Total
@@ -164,7 +164,7 @@
 		free = free.Sub(r.start.Resources)
 	}
 	free.Slots += w.faults.LieSlots
-	return ledger.Heartbeat{
+	return state.Heartbeat{
 		Worker: w.env.ID, Incarnation: w.env.Incarnation, Number: w.number, Zone: w.env.Site, Rack: w.env.Rack, Service: w.env.Service,
 		Labels: w.env.Labels, Running: w.attempts(), Ended: slices.Clone(w.ended), Free: free, Leaving: w.leaving,
 	}
@@ -193,7 +193,7 @@
 
 // Reply takes the answer to a beat; one to an earlier beat, or one that comes
 // late, is dropped whole.
-func (w *Worker) Reply(now time.Duration, number uint64, good bool, orders ledger.HeartbeatReply) {
+func (w *Worker) Reply(now time.Duration, number uint64, good bool, orders state.HeartbeatReply) {
 	if number != w.number || !w.waiting {
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 	w.nextBeat = now
 	w.cutoff = max(w.cutoff, w.sentAt+orders.LeaseDuration)
-	w.ended = slices.DeleteFunc(w.ended, func(e ledger.AttemptResult) bool { return slices.Contains(orders.Acks, e.Attempt) })
+	w.ended = slices.DeleteFunc(w.ended, func(e state.AttemptResult) bool { return slices.Contains(orders.Acks, e.Attempt) })
 	for _, a := range orders.Stops {
 		if r, ok := w.run[a]; ok && r.stopAt == 0 && !r.hung {
 			r.stopAt = now + stopTook
@@ -230,7 +230,7 @@
 	}
 }
 
-func (w *Worker) start(now time.Duration, s ledger.StartOrder) {
+func (w *Worker) start(now time.Duration, s state.StartOrder) {
 	var p Payload
 	if json.Unmarshal(s.Payload, &p) != nil || p.RunMs <= 0 {
 		p.RunMs = 50
--- a/tool/fleet/fleet.go
+++ b/tool/fleet/fleet.go
@@ -32,6 +32,9 @@
 	Proxies    bool
 }
 
+// programs names the program that runs each role.
+var programs = map[string]string{"keeper": "replica", "scheduler": "scheduler", "front": "gateway", "standin": "fakeworker"}
+
 // Process is one member of the fleet.
 type Process struct {
 	Name          string
--- a/tool/fleet/relay.go
+++ b/tool/fleet/relay.go
@@ -1,6 +1,7 @@
 // Relays stand before each daemon of a fleet that is to be cut. A relay passes
 // on whole frames and drops those whose sender is cut from its daemon, so a cut
 // can be one-way, and neither side sees its connection close.
+
 package fleet
 
 import (
--- a/tool/load/load.go
+++ b/tool/load/load.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"sorrelloom/core/front"
+	"sorrelloom/core/gateway"
 	"sorrelloom/daemon/client"
 	"sorrelloom/daemon/pool"
 	"sorrelloom/tool/deploy"
@@ -119,7 +119,7 @@
 			r.update(class, func(c *ClassReport) { c.Retried++ })
 		}
 		res, err := c.CallAddress(near, "POST", "/v1/jobs", body, nil, 2*time.Second)
-		var out front.Outcome
+		var out gateway.Outcome
 		if err == nil && res.Decode(&out) == nil {
 			if res.Status == 200 {
 				r.update(class, func(c *ClassReport) { c.Accepted++; c.AcceptMs = append(c.AcceptMs, since()) })
@@ -140,7 +140,7 @@
 	for !over() {
 		res, err := c.CallAddress(near, "GET", "/v1/jobs/"+a.jobID+"?wait=1s", nil, nil, 3*time.Second)
 		r.update(class, func(c *ClassReport) { c.StatusReads++ })
-		var view front.JobView
+		var view gateway.JobView
 		switch {
 		case err != nil || res.Decode(&view) != nil:
 			near = e.Gateways[int(since())%len(e.Gateways)]
--- a/tool/scale/core.go
+++ b/tool/scale/core.go
@@ -14,13 +14,13 @@
 	"syscall"
 	"time"
 
-	"sorrelloom/core/center"
-	"sorrelloom/core/member"
+	"sorrelloom/core/control"
+	"sorrelloom/core/membership"
 	"sorrelloom/core/wire"
 	"sorrelloom/daemon/host"
-	"sorrelloom/daemon/logline"
+	"sorrelloom/daemon/logging"
 	"sorrelloom/daemon/run"
-	"sorrelloom/daemon/store"
+	"sorrelloom/daemon/storage"
 )
 
 // Core is what one core process is started with.
@@ -34,14 +34,14 @@
 
 // RunCore is a core process until it is told to end.
 func RunCore(c CoreConfig) error {
-	logline.Init("core@" + c.Address)
-	defer logline.Flush()
-	data, stored, err := store.Open(c.DataDir)
+	logging.Init("core@" + c.Address)
+	defer logging.Flush()
+	data, stored, err := storage.Open(c.DataDir)
 	if err != nil {
 		return err
 	}
 	founders := strings.Split(c.BootstrapMembers, ",")
-	main, err := center.New(center.Config{
+	main, err := control.New(control.Config{
 		Address: c.Address, Zone: c.Zone, Founders: founders, NewID: run.RandomHexID(), BootID: run.RandomID(),
 	}, stored)
 	if err != nil {
@@ -50,7 +50,7 @@
 	failed := make(chan error, 1)
 	h := host.New(c.Address, c.Address, data, func(err error) { failed <- err })
 	shard := h.Add(main)
-	h.Add(member.New(member.Config{
+	h.Add(membership.New(membership.Config{
 		Self:  wire.Node{ID: main.ID(), Role: "keeper", Zone: c.Zone, Address: c.Address, Incarnation: time.Now().UnixMilli()},
 		Seeds: founders, Seed: run.RandomID(),
 	}), wire.KindShuffle, wire.KindShuffleReply)
