--- a/tool/scale/scale.go
+++ b/tool/scale/scale.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"sorrelloom/core/agent"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/leaderclient"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/relay"
+	"sorrelloom/core/state"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/pool"
 	"sorrelloom/daemon/run"
@@ -115,14 +115,14 @@
 	for i := range env.Gateways {
 		at := fmt.Sprintf("127.0.2.%d:%d", i+1, env.Port)
 		p := host.New(at, at, nil, nil)
-		doors = append(doors, p.Add(relay.New(relay.Config{Address: at, Replicas: addresses, FirstCommandID: run.RandomID()})))
+		doors = append(doors, p.Add(leaderclient.New(leaderclient.Config{Address: at, Replicas: addresses, FirstCommandID: run.RandomID()})))
 		if err := p.Run(); err != nil {
 			return Report{}, err
 		}
 		defer p.Close()
 	}
 	for until := time.Now().Add(20 * time.Second); ; {
-		a := h.execute(doors[0], ledger.Command{Kind: ledger.KindChangeConfig, ConfigChange: ledger.ConfigChange{Forced: true, Body: []byte(configBody)}})
+		a := h.execute(doors[0], state.Command{Kind: state.KindChangeConfig, ConfigChange: state.ConfigChange{Forced: true, Body: []byte(configBody)}})
 		if a.Code.IsSuccess() {
 			break
 		}
@@ -139,7 +139,7 @@
 			return Report{}, err
 		}
 		defer p.Close()
-		w := &simulatedWorker{simulation: h, name: fmt.Sprintf("w%03d", i), address: at, zone: zoneOf(i), rack: fmt.Sprintf("r%d", i/9), shard: shard, running: map[ledger.Attempt]time.Time{}}
+		w := &simulatedWorker{simulation: h, name: fmt.Sprintf("w%03d", i), address: at, zone: zoneOf(i), rack: fmt.Sprintf("r%d", i/9), shard: shard, running: map[state.Attempt]time.Time{}}
 		pool.Go(w.loop)
 	}
 	time.Sleep(2 * time.Second)
@@ -160,11 +160,11 @@
 	return report, nil
 }
 
-func (h *simulation) execute(shard *host.Runner, cmd ledger.Command) ledger.Result {
+func (h *simulation) execute(shard *host.Runner, cmd state.Command) state.Result {
 	ctx, cancel := context.WithTimeout(h.ctx, 3*time.Second)
 	defer cancel()
-	v, _ := shard.Do(ctx, machine.Request{Kind: relay.RequestCommand, Decoded: cmd, Wait: 2 * time.Second})
-	a, _ := v.(ledger.Result)
+	v, _ := shard.Do(ctx, machine.Request{Kind: leaderclient.RequestCommand, Decoded: cmd, Wait: 2 * time.Second})
+	a, _ := v.(state.Result)
 	return a
 }
 
@@ -180,9 +180,9 @@
 			h.mu.Lock()
 			h.submittedAt[id] = time.Now()
 			h.mu.Unlock()
-			spec := ledger.JobSpec{ID: id, Service: "s", Class: class, Payload: []byte(`"0123456789012345678901234567890123456789"`), Steps: []ledger.StepSpec{{Count: h.config.TasksPerJob, Resources: ledger.Resources{Slots: h.config.SlotsPerTask, MemoryMB: 100}}}}
+			spec := state.JobSpec{ID: id, Service: "s", Class: class, Payload: []byte(`"0123456789012345678901234567890123456789"`), Steps: []state.StepSpec{{Count: h.config.TasksPerJob, Resources: state.Resources{Slots: h.config.SlotsPerTask, MemoryMB: 100}}}}
 			h.jobs.Add(1)
-			if a := h.execute(door, ledger.Command{Kind: ledger.KindAcceptJob, Summary: true, Job: spec}); !a.Code.IsSuccess() {
+			if a := h.execute(door, state.Command{Kind: state.KindAcceptJob, Summary: true, Job: spec}); !a.Code.IsSuccess() {
 				h.rejected.Add(1)
 			}
 		})
@@ -240,7 +240,7 @@
 	shard         *host.Runner
 	callNumber    uint64
 	lastEndNumber uint64
-	running       map[ledger.Attempt]time.Time
+	running       map[state.Attempt]time.Time
 	ended         []agent.EndedRun
 }
 
@@ -255,7 +255,7 @@
 		}
 		w.callNumber++
 		call := agent.Call{Worker: w.name, Number: w.callNumber, Address: w.address, Service: "s", Zone: w.zone, Rack: w.rack, Labels: []string{"a", w.rack},
-			Free: ledger.Resources{Slots: 64000, MemoryMB: 262144}, Ended: w.ended}
+			Free: state.Resources{Slots: 64000, MemoryMB: 262144}, Ended: w.ended}
 		for a := range w.running {
 			call.Running = append(call.Running, agent.Run{Attempt: a})
 		}
@@ -283,7 +283,7 @@
 	}
 }
 
-func (w *simulatedWorker) finish(a ledger.Attempt, how string) {
+func (w *simulatedWorker) finish(a state.Attempt, how string) {
 	w.lastEndNumber++
 	w.ended = append(w.ended, agent.EndedRun{Number: w.lastEndNumber, Run: agent.Run{Attempt: a}, Outcome: how})
 }
--- a/tool/sim/actors.go
+++ b/tool/sim/actors.go
@@ -1,5 +1,6 @@
 // Workers, callers and operators of the simulation: those outside, whose own
 // notes are all that the oracle judges by.
+
 package sim
 
 import (
@@ -7,17 +8,17 @@
 	"fmt"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/front"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
-	"sorrelloom/tool/worker"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
+	"sorrelloom/tool/fakeworker"
 )
 
 // hand is one worker machine and the life of its process.
 type hand struct {
-	env      worker.Env
-	w        *worker.Worker
+	env      fakeworker.Env
+	w        *fakeworker.Worker
 	up       bool
 	life     int
 	cut      bool
@@ -29,8 +30,8 @@
 	lefts    [][2]time.Duration
 	past     []run
 	runsSeen int
-	acked    map[ledger.Attempt]time.Duration
-	kept     []ledger.AttemptResult
+	acked    map[state.Attempt]time.Duration
+	kept     []state.AttemptResult
 	gone     []time.Duration
 	unheard  [][2]time.Duration
 	spoiled  [][2]time.Duration
@@ -38,7 +39,7 @@
 
 // run is one run as the worker saw it, in world time; to is 0 while it lasts.
 type run struct {
-	worker.Run
+	fakeworker.Run
 	from, to time.Duration
 	// alone says that it ended before all of its gang had come.
 	alone bool
@@ -50,7 +51,7 @@
 func (s *Scenario) bootHand(h *hand) {
 	h.life++
 	h.env.Incarnation = int64(h.life)
-	h.w, h.up, h.boot, h.leftAt, h.runsSeen = worker.New(h.env), true, s.w.Now, 0, 0
+	h.w, h.up, h.boot, h.leftAt, h.runsSeen = fakeworker.New(h.env), true, s.w.Now, 0, 0
 	h.w.Carry(h.kept)
 	h.heard(s.w.Now)
 	s.tickHand(h)
@@ -82,9 +83,9 @@
 }
 
 // set tells the worker what to do wrong, and notes from when to when.
-func (h *hand) set(now time.Duration, f worker.Faults) {
+func (h *hand) set(now time.Duration, f fakeworker.Faults) {
 	h.w.Set(f)
-	if f != (worker.Faults{}) {
+	if f != (fakeworker.Faults{}) {
 		h.spoiled = append(h.spoiled, [2]time.Duration{now, 0})
 	} else if k := len(h.spoiled); k > 0 {
 		h.spoiled[k-1][1] = now
@@ -107,7 +108,7 @@
 // gone is the platform's operator, who knows that a machine will not come back
 // and says so until it is taken.
 func (s *Scenario) gone(h *hand) {
-	s.operate(machine.Request{Kind: front.RequestConfirmDead, Name: h.name()}, func(_ time.Duration, r front.Reply) {
+	s.operate(machine.Request{Kind: gateway.RequestConfirmDead, Name: h.name()}, func(_ time.Duration, r gateway.Reply) {
 		if r.StatusCode == 200 {
 			h.gone = append(h.gone, s.w.Now)
 		} else if !h.up && s.w.Now < s.end {
@@ -135,11 +136,11 @@
 	})
 }
 
-func (s *Scenario) sendBeat(h *hand, beat ledger.Heartbeat) {
+func (s *Scenario) sendBeat(h *hand, beat state.Heartbeat) {
 	life := h.life
 	body := machine.MustJSON(beat)
 	address := h.fronts[h.turn%len(h.fronts)]
-	s.w.Call(h.name(), h.env.Site, address, machine.Request{Kind: front.RequestHeartbeat, Body: body, Wait: worker.HoldFor}, worker.DropLate+time.Second, func(r front.Reply, ok bool) {
+	s.w.Call(h.name(), h.env.Site, address, machine.Request{Kind: gateway.RequestHeartbeat, Body: body, Wait: fakeworker.HoldFor}, fakeworker.DropLate+time.Second, func(r gateway.Reply, ok bool) {
 		if h.life != life || h.cut {
 			ok = false
 		}
@@ -149,7 +150,7 @@
 		if h.life != life {
 			return
 		}
-		view, is := r.Body.(front.HeartbeatView)
+		view, is := r.Body.(gateway.HeartbeatView)
 		good := ok && is && r.StatusCode == 200
 		if good {
 			for _, a := range view.Reply.Acks {
@@ -184,13 +185,13 @@
 
 // caller is one job as its caller saw it.
 type caller struct {
-	spec       ledger.JobSpec
+	spec       state.JobSpec
 	sentAt     time.Duration
 	acceptedAt time.Duration
 	cancelAt   time.Duration
 	overAt     time.Duration
 	state      string
-	bounced    code.Code
+	bounced    status.Code
 	forgotten  time.Duration
 	early      string
 	turn       int
@@ -200,7 +201,7 @@
 	impossible bool
 	dependable bool
 	// asks is a job in steps as it was handed in, spec then its steps written out.
-	asks     ledger.JobSpec
+	asks     state.JobSpec
 	unclear  bool
 	gaveUpAt time.Duration
 }
@@ -218,7 +219,7 @@
 			s.w.After(after, func() { s.submit(c) })
 		}
 	}
-	s.w.Call("caller", site, s.frontFor(c.turn), machine.Request{Kind: front.RequestSubmit, Body: body}, 3*time.Second, func(r front.Reply, ok bool) {
+	s.w.Call("caller", site, s.frontFor(c.turn), machine.Request{Kind: gateway.RequestSubmit, Body: body}, 3*time.Second, func(r gateway.Reply, ok bool) {
 		switch {
 		case !ok:
 			again(100 * time.Millisecond)
@@ -233,7 +234,7 @@
 			}
 			again(max(r.RetryAfter, 50*time.Millisecond))
 		default:
-			if out, is := r.Body.(front.Outcome); is {
+			if out, is := r.Body.(gateway.Outcome); is {
 				c.bounced = out.Code
 			}
 		}
@@ -248,7 +249,7 @@
 		return
 	}
 	c.turn++
-	s.w.Call("caller", s.sites[c.turn%len(s.sites)], s.frontFor(c.turn), machine.Request{Kind: front.RequestStatus, Name: c.spec.ID, Wait: time.Second}, 3*time.Second, func(r front.Reply, ok bool) {
+	s.w.Call("caller", s.sites[c.turn%len(s.sites)], s.frontFor(c.turn), machine.Request{Kind: gateway.RequestStatus, Name: c.spec.ID, Wait: time.Second}, 3*time.Second, func(r gateway.Reply, ok bool) {
 		again := 200 * time.Millisecond
 		if ok {
 			c.asked++
@@ -256,12 +257,12 @@
 		if ok && r.StatusCode == 404 && c.forgotten == 0 {
 			c.forgotten = s.w.Now
 		}
-		if view, is := r.Body.(front.JobView); ok && is {
+		if view, is := r.Body.(gateway.JobView); ok && is {
 			c.state = view.State
-			if view.State == ledger.Done || view.State == ledger.Failed || view.State == ledger.Cancelled {
+			if view.State == state.Done || view.State == state.Failed || view.State == state.Cancelled {
 				c.overAt = s.w.Now
 				for _, t := range view.Tasks {
-					if t.State != ledger.Done && t.State != ledger.Failed && t.State != ledger.Cancelled {
+					if t.State != state.Done && t.State != state.Failed && t.State != state.Cancelled {
 						c.early = t.ID
 					}
 				}
@@ -282,7 +283,7 @@
 
 // operate sends an operator's request until it has an answer; took hears when
 // the request first stood at daemons that could hear it. Bounds count from then.
-func (s *Scenario) operate(ask machine.Request, took func(heardAt time.Duration, r front.Reply)) {
+func (s *Scenario) operate(ask machine.Request, took func(heardAt time.Duration, r gateway.Reply)) {
 	turn := s.w.chance.IntN(len(s.fronts))
 	if ask.IdempotencyKey == "" {
 		s.asks++
@@ -292,7 +293,7 @@
 	var try func()
 	try = func() {
 		turn++
-		s.w.Call("operator", s.sites[turn%len(s.sites)], s.frontFor(turn), ask, 5*time.Second, func(r front.Reply, ok bool) {
+		s.w.Call("operator", s.sites[turn%len(s.sites)], s.frontFor(turn), ask, 5*time.Second, func(r gateway.Reply, ok bool) {
 			if !ok || r.StatusCode == 503 {
 				if s.w.Now < s.end {
 					s.w.After(200*time.Millisecond, try)
@@ -306,7 +307,7 @@
 }
 
 func (s *Scenario) cancel(c *caller) {
-	s.operate(machine.Request{Kind: front.RequestCancel, Name: c.spec.ID}, func(heardAt time.Duration, r front.Reply) {
+	s.operate(machine.Request{Kind: gateway.RequestCancel, Name: c.spec.ID}, func(heardAt time.Duration, r gateway.Reply) {
 		if r.StatusCode == 200 {
 			c.cancelAt = heardAt
 		}
@@ -315,7 +316,7 @@
 
 // empty asks for a site to be emptied, and to be refilled later.
 func (s *Scenario) empty(site string, keep time.Duration) {
-	s.operate(machine.Request{Kind: front.RequestDrainZone, Name: site, Enable: true}, func(heardAt time.Duration, r front.Reply) {
+	s.operate(machine.Request{Kind: gateway.RequestDrainZone, Name: site, Enable: true}, func(heardAt time.Duration, r gateway.Reply) {
 		if r.StatusCode != 200 {
 			return
 		}
@@ -323,28 +324,28 @@
 		s.empties = append(s.empties, e)
 		s.w.After(keep, func() {
 			e.to = s.w.Now
-			s.operate(machine.Request{Kind: front.RequestDrainZone, Name: site}, func(time.Duration, front.Reply) {})
+			s.operate(machine.Request{Kind: gateway.RequestDrainZone, Name: site}, func(time.Duration, gateway.Reply) {})
 		})
 	})
 }
 
 // change makes one plan change on the sequence that the operator last saw.
 func (s *Scenario) change(operator int, body string) {
-	s.operate(machine.Request{Kind: front.RequestConfigGet}, func(_ time.Duration, r front.Reply) {
+	s.operate(machine.Request{Kind: gateway.RequestConfigGet}, func(_ time.Duration, r gateway.Reply) {
 		var now struct {
 			Sequence uint64 `json:"sequence"`
 		}
 		if r.StatusCode != 200 || json.Unmarshal(machine.MustJSON(r.Body), &now) != nil {
 			return
 		}
-		s.operate(machine.Request{Kind: front.RequestConfigPatch, Body: []byte(body), BaseVersion: now.Sequence}, func(heardAt time.Duration, r front.Reply) {
-			out, is := r.Body.(front.Outcome)
+		s.operate(machine.Request{Kind: gateway.RequestConfigPatch, Body: []byte(body), BaseVersion: now.Sequence}, func(heardAt time.Duration, r gateway.Reply) {
+			out, is := r.Body.(gateway.Outcome)
 			if !is {
 				return
 			}
 			if r.StatusCode == 200 {
 				s.planned(heardAt, out.Version)
-			} else if out.Code == code.StaleConfig {
+			} else if out.Code == status.StaleConfig {
 				s.races++
 			}
 		})
--- a/tool/sim/beside.go
+++ b/tool/sim/beside.go
@@ -1,5 +1,6 @@
 // Workers beside a side: what a worker does by the contract of core/agent, with
 // its own notes of every run.
+
 package sim
 
 import (
@@ -10,9 +11,9 @@
 	"time"
 
 	"sorrelloom/core/agent"
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
-	"sorrelloom/tool/worker"
+	"sorrelloom/core/state"
+	"sorrelloom/tool/fakeworker"
 )
 
 const (
@@ -38,7 +39,7 @@
 type ring struct {
 	size    int
 	members []*beside
-	at      []ledger.Attempt
+	at      []state.Attempt
 	broken  bool
 }
 
@@ -54,9 +55,9 @@
 	ends    uint64
 	fence   uint64
 	hold    time.Duration
-	run     map[ledger.Attempt]*ward
+	run     map[state.Attempt]*ward
 	ended   []agent.EndedRun
-	seen    map[ledger.Attempt]bool
+	seen    map[state.Attempt]bool
 	leaving time.Duration
 	fails   bool
 	keeps   bool // breaks the contract: runs on when its hold is over
@@ -65,7 +66,7 @@
 
 // place is a machine with its side, at which one life of a worker follows another.
 type place struct {
-	lies    ledger.Resources // breaks the contract: said to be free beside the total
+	lies    state.Resources // breaks the contract: said to be free beside the total
 	number  int
 	address string
 	side    *node
@@ -73,7 +74,7 @@
 	rack    string
 	service string
 	labels  []string
-	total   ledger.Resources
+	total   state.Resources
 	lives   int
 	now     *beside
 }
@@ -94,10 +95,10 @@
 		return
 	}
 	p.lives++
-	e := worker.Env{ID: fmt.Sprintf("w%02d.%d", p.number, p.lives), Site: p.site, Rack: p.rack, Service: p.service, Labels: p.labels, Total: p.total}
-	h := &hand{env: e, w: worker.New(e), up: true, acked: map[ledger.Attempt]time.Duration{}}
+	e := fakeworker.Env{ID: fmt.Sprintf("w%02d.%d", p.number, p.lives), Site: p.site, Rack: p.rack, Service: p.service, Labels: p.labels, Total: p.total}
+	h := &hand{env: e, w: fakeworker.New(e), up: true, acked: map[state.Attempt]time.Duration{}}
 	c.hands[e.ID] = h
-	p.now = &beside{c: c, hand: h, place: p, rate: 1 - slowest*c.w.chance.Float64(), born: c.w.Now, up: true, run: map[ledger.Attempt]*ward{}, seen: map[ledger.Attempt]bool{}}
+	p.now = &beside{c: c, hand: h, place: p, rate: 1 - slowest*c.w.chance.Float64(), born: c.w.Now, up: true, run: map[state.Attempt]*ward{}, seen: map[state.Attempt]bool{}}
 	c.w.say("worker %s at %s", e.ID, p.address)
 	p.now.call()
 }
@@ -119,12 +120,12 @@
 	}
 }
 
-func (b *beside) attempts() []ledger.Attempt {
-	out := make([]ledger.Attempt, 0, len(b.run))
+func (b *beside) attempts() []state.Attempt {
+	out := make([]state.Attempt, 0, len(b.run))
 	for a := range b.run {
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(x, y ledger.Attempt) int { return strings.Compare(x.String(), y.String()) })
+	slices.SortFunc(out, func(x, y state.Attempt) int { return strings.Compare(x.String(), y.String()) })
 	return out
 }
 
@@ -132,7 +133,7 @@
 var how = map[string]string{"good": agent.OutcomeSucceeded, "bad": agent.OutcomeFailed, "stopped": agent.OutcomeStopped, "lapsed": agent.OutcomeLost, "broken": agent.OutcomeLost, "alone": agent.OutcomeLost}
 
 // end ends one run, and says so from the next call on. A gang breaks with it.
-func (b *beside) end(a ledger.Attempt, outcome string, quiet bool) {
+func (b *beside) end(a state.Attempt, outcome string, quiet bool) {
 	w, ok := b.run[a]
 	if !ok {
 		return
@@ -164,14 +165,14 @@
 }
 
 // textOf is what a run's saved text begins with: its task's, or its gang's.
-func textOf(a ledger.Attempt, gang string) string {
+func textOf(a state.Attempt, gang string) string {
 	if gang != "" {
 		return a.Job + "/" + gang + ":"
 	}
 	return a.Job + "/" + a.Task + ":"
 }
 
-func (b *beside) saved(a ledger.Attempt, w *ward) string {
+func (b *beside) saved(a state.Attempt, w *ward) string {
 	if w.percent == 0 {
 		return ""
 	}
@@ -278,7 +279,7 @@
 	}
 	job := b.c.byID[order.Job]
 	w := &ward{took: time.Duration(payload.RunMs[step]) * time.Millisecond, fails: b.fails && b.c.w.chance.IntN(3) == 0}
-	w.run = run{Run: worker.Run{Attempt: order.Attempt, Worker: b.name(), Class: job.spec.Class, Service: b.place.service, Room: task.Resources, Gang: task.Gang}, from: now}
+	w.run = run{Run: fakeworker.Run{Attempt: order.Attempt, Worker: b.name(), Class: job.spec.Class, Service: b.place.service, Room: task.Resources, Gang: task.Gang}, from: now}
 	if order.Checkpoint != "" {
 		b.c.count("saved-of-another")
 		if _, err := fmt.Sscanf(strings.TrimPrefix(order.Checkpoint, textOf(order.Attempt, task.Gang)), "%d", &w.percent); err != nil {
@@ -297,7 +298,7 @@
 }
 
 // join waits for the other members, for so long only.
-func (b *beside) join(a ledger.Attempt, w *ward, progress bool) {
+func (b *beside) join(a state.Attempt, w *ward, progress bool) {
 	key := fmt.Sprintf("%s/%s/%d", a.Job, w.run.Gang, a.Number)
 	g := b.c.rings[key]
 	if g == nil {
@@ -324,7 +325,7 @@
 }
 
 // proceed lets a run go on to its end.
-func (b *beside) proceed(a ledger.Attempt, w *ward, progress, lasting bool) {
+func (b *beside) proceed(a state.Attempt, w *ward, progress, lasting bool) {
 	left := w.took * time.Duration(100-w.percent) / 100
 	from, at := w.percent, b.c.w.Now
 	if progress {
--- a/tool/sim/both.go
+++ b/tool/sim/both.go
@@ -1,12 +1,13 @@
 // What both compositions do alike: who leads, whose disks are there, when nobody
 // served, when a request could first be heard, and when the faults of a day come.
+
 package sim
 
 import (
 	"time"
 
-	"sorrelloom/core/center"
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/control"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
 )
 
@@ -17,11 +18,11 @@
 )
 
 // keeper gives the keeper of a process that has one.
-func (n *node) keeper() *keeper.Replica {
+func (n *node) keeper() *replica.Replica {
 	switch m := n.main.(type) {
-	case *keeper.Replica:
+	case *replica.Replica:
 		return m
-	case *center.Control:
+	case *control.Control:
 		return m.Replica()
 	}
 	return nil
--- a/tool/sim/center_break.go
+++ b/tool/sim/center_break.go
@@ -1,11 +1,12 @@
 // How processes, machines and lines of the composition of centers are broken.
+
 package sim
 
 import (
 	"fmt"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 func (c *Centers) slow(d time.Duration) { c.slowAt(c.w.Now, d) }
@@ -73,6 +74,6 @@
 		c.hurt(14 * time.Second)
 	}
 	c.submit(c.job("batch", fmt.Sprintf("armed-%d", c.w.Now/time.Millisecond),
-		[]ledger.StepSpec{{Count: 1}}, []int64{100}, ledger.Repeat{}))
+		[]state.StepSpec{{Count: 1}}, []int64{100}, state.Repeat{}))
 	c.hurt(14 * time.Second)
 }
--- a/tool/sim/center_callers.go
+++ b/tool/sim/center_callers.go
@@ -1,36 +1,37 @@
 // Callers of the composition of centers: they hand jobs in through the doors and ask
 // after them until they are over.
+
 package sim
 
 import (
 	"slices"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/leaderclient"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/relay"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 )
 
 // door picks a door; a caller whose door is down goes on to the next.
 func (c *Centers) door(turn int) *node { return c.doors[turn%len(c.doors)] }
 
 // carry hands a command to a door's relay.
-func (c *Centers) carry(who string, turn int, cmd ledger.Command, back func(ledger.Result, bool)) {
+func (c *Centers) carry(who string, turn int, cmd state.Command, back func(state.Result, bool)) {
 	d := c.door(turn)
 	c.w.Ask(who, d.site, d.address, machine.Request{
-		Kind: relay.RequestCommand, Decoded: cmd, Wait: commandWait,
+		Kind: leaderclient.RequestCommand, Decoded: cmd, Wait: commandWait,
 	}, commandWait+time.Second, func(v any) {
-		c.w.trace(who, d.address, cmd.Kind, v.(ledger.Result).Code.String())
+		c.w.trace(who, d.address, cmd.Kind, v.(state.Result).Code.String())
 	}, func(v any, ok bool) {
-		a, is := v.(ledger.Result)
+		a, is := v.(state.Result)
 		back(a, ok && is)
 	})
 }
 
 // refused says whether an answer promises that nothing came of the command.
-func refused(a ledger.Result) bool {
-	return a.Code != code.NoResponse && (a.Code.HTTPStatus() == 503 || a.Code.HTTPStatus() == 429)
+func refused(a state.Result) bool {
+	return a.Code != status.NoResponse && (a.Code.HTTPStatus() == 503 || a.Code.HTTPStatus() == 429)
 }
 
 // submit hands a job in until there is a clear answer. Some callers give up on
@@ -46,9 +47,9 @@
 			c.w.After(after, func() { c.submit(one) })
 		}
 	}
-	c.carry("caller", one.turn, ledger.Command{
-		Kind: ledger.KindAcceptJob, Host: centerHost, Path: one.asks.Path, Summary: true, Job: one.asks,
-	}, func(a ledger.Result, ok bool) {
+	c.carry("caller", one.turn, state.Command{
+		Kind: state.KindAcceptJob, Host: centerHost, Path: one.asks.Path, Summary: true, Job: one.asks,
+	}, func(a state.Result, ok bool) {
 		switch {
 		case !ok:
 			one.unclear = true
@@ -73,7 +74,7 @@
 				return
 			}
 			again(max(a.RetryAfter, 50*time.Millisecond))
-		case a.Code == code.NoResponse:
+		case a.Code == status.NoResponse:
 			one.unclear = true
 			again(max(a.RetryAfter, 50*time.Millisecond))
 		default:
@@ -88,18 +89,18 @@
 		return
 	}
 	one.turn++
-	c.carry("caller", one.turn, ledger.Command{
-		Kind: ledger.KindReadJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path,
-	}, func(a ledger.Result, ok bool) {
-		if ok && (a.Code.IsSuccess() || a.Code == code.UnknownJob) {
+	c.carry("caller", one.turn, state.Command{
+		Kind: state.KindReadJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path,
+	}, func(a state.Result, ok bool) {
+		if ok && (a.Code.IsSuccess() || a.Code == status.UnknownJob) {
 			one.asked++
 		}
-		if ok && a.Code == code.UnknownJob && one.forgotten == 0 {
+		if ok && a.Code == status.UnknownJob && one.forgotten == 0 {
 			one.forgotten = c.w.Now
 		}
 		if ok && a.Code.IsSuccess() {
 			one.state = a.Job.State
-			if one.state == ledger.Done || one.state == ledger.Failed || one.state == ledger.Cancelled {
+			if one.state == state.Done || one.state == state.Failed || one.state == state.Cancelled {
 				one.overAt = c.w.Now
 				for i, t := range a.Job.Tasks {
 					if !t.Terminal() {
--- a/tool/sim/center_faults.go
+++ b/tool/sim/center_faults.go
@@ -1,4 +1,5 @@
 // The faults of the composition of centers, by name, and when they come.
+
 package sim
 
 import (
@@ -8,7 +9,7 @@
 	"sort"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 // CenterKinds are the faults of this composition.
@@ -156,9 +157,9 @@
 			name := fmt.Sprintf("crowd%d-%d", c.w.Now/time.Millisecond, i)
 			if i%3 == 0 {
 				c.submit(c.job("batch", name,
-					[]ledger.StepSpec{{Count: 4}, {Count: 1, DependsOn: []int{0}}}, []int64{400, 50}, ledger.Repeat{}))
+					[]state.StepSpec{{Count: 4}, {Count: 1, DependsOn: []int{0}}}, []int64{400, 50}, state.Repeat{}))
 			} else {
-				c.submit(c.job("lookup", name, []ledger.StepSpec{{Count: 1}}, []int64{60}, ledger.Repeat{}))
+				c.submit(c.job("lookup", name, []state.StepSpec{{Count: 1}}, []int64{60}, state.Repeat{}))
 			}
 		}
 		c.slow(6 * time.Second)
@@ -175,8 +176,8 @@
 	}
 	c.w.At(c.env.For+serveBound, func() {
 		for i, class := range []string{"lookup", "batch", "long", "lookup", "batch", "print"} {
-			steps := []ledger.StepSpec{{Count: 1 + i%2*2, Gang: class == "batch"}}
-			one := c.job(class, fmt.Sprintf("probe-%d", i), steps, []int64{200}, ledger.Repeat{})
+			steps := []state.StepSpec{{Count: 1 + i%2*2, Gang: class == "batch"}}
+			one := c.job(class, fmt.Sprintf("probe-%d", i), steps, []int64{200}, state.Repeat{})
 			one.probe = true
 			c.submit(one)
 		}
--- a/tool/sim/center_operators.go
+++ b/tool/sim/center_operators.go
@@ -1,25 +1,26 @@
 // Operators of the composition of centers: cancelling, emptying sites, changing and
 // reading plans.
+
 package sim
 
 import (
 	"fmt"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 )
 
 // operate sends an operator's command until it has an answer; took hears when it
 // first stood at a door where it could be heard.
-func (c *Centers) operate(cmd ledger.Command, took func(heardAt time.Duration, a ledger.Result)) {
+func (c *Centers) operate(cmd state.Command, took func(heardAt time.Duration, a state.Result)) {
 	turn := c.w.chance.IntN(3)
 	heard := c.listen(c.w, func() bool { return c.hears(c.door(turn)) })
 	var try func()
 	try = func() {
 		turn++
-		c.carry("operator", turn, cmd, func(a ledger.Result, ok bool) {
-			if !ok || a.Code == code.NoResponse || refused(a) {
+		c.carry("operator", turn, cmd, func(a state.Result, ok bool) {
+			if !ok || a.Code == status.NoResponse || refused(a) {
 				if c.w.Now < c.end {
 					c.w.After(200*time.Millisecond, try)
 				}
@@ -32,9 +33,9 @@
 }
 
 func (c *Centers) cancel(one *caller) {
-	c.operate(ledger.Command{
-		Kind: ledger.KindCancelJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path, Summary: true,
-	}, func(heardAt time.Duration, a ledger.Result) {
+	c.operate(state.Command{
+		Kind: state.KindCancelJob, Name: one.spec.ID, Host: centerHost, Path: one.asks.Path, Summary: true,
+	}, func(heardAt time.Duration, a state.Result) {
 		if a.Code.IsSuccess() {
 			one.cancelAt = heardAt
 		} else if one.acceptedAt == 0 && one.bounced == 0 && c.w.Now < c.end {
@@ -49,9 +50,9 @@
 }
 
 func (c *Centers) site(name string, keep time.Duration) {
-	c.operate(ledger.Command{
-		Kind: ledger.KindDrainZone, Name: name, Drain: true, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
-	}, func(heardAt time.Duration, a ledger.Result) {
+	c.operate(state.Command{
+		Kind: state.KindDrainZone, Name: name, Drain: true, IdempotencyKey: c.token(), RequestedAt: state.RequestTimeUnknown,
+	}, func(heardAt time.Duration, a state.Result) {
 		if !a.Code.IsSuccess() {
 			c.emptying = false
 			return
@@ -60,9 +61,9 @@
 		c.empties = append(c.empties, e)
 		c.w.After(keep, func() {
 			e.to, c.emptying = c.w.Now, false
-			c.operate(ledger.Command{
-				Kind: ledger.KindDrainZone, Name: name, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
-			}, func(time.Duration, ledger.Result) {})
+			c.operate(state.Command{
+				Kind: state.KindDrainZone, Name: name, IdempotencyKey: c.token(), RequestedAt: state.RequestTimeUnknown,
+			}, func(time.Duration, state.Result) {})
 		})
 	})
 }
@@ -71,13 +72,13 @@
 func (c *Centers) change() {
 	base := c.planned
 	body := centerPlan(100 + int(base))
-	c.operate(ledger.Command{
-		Kind: ledger.KindChangeConfig, IdempotencyKey: c.token(), RequestedAt: ledger.RequestTimeUnknown,
-		ConfigChange: ledger.ConfigChange{BaseVersion: base, Body: body},
-	}, func(_ time.Duration, a ledger.Result) {
+	c.operate(state.Command{
+		Kind: state.KindChangeConfig, IdempotencyKey: c.token(), RequestedAt: state.RequestTimeUnknown,
+		ConfigChange: state.ConfigChange{BaseVersion: base, Body: body},
+	}, func(_ time.Duration, a state.Result) {
 		if a.Code.IsSuccess() {
 			c.planned = max(c.planned, base+1)
-		} else if a.Code != code.StaleConfig {
+		} else if a.Code != status.StaleConfig {
 			c.fault("plan-went-back", "a plan is refused: %s %s", a.Code, a.Reason)
 		}
 	})
@@ -90,7 +91,7 @@
 		return
 	}
 	known := c.planned
-	c.carry("operator", c.w.chance.IntN(3), ledger.Command{Kind: ledger.KindReadConfig}, func(a ledger.Result, ok bool) {
+	c.carry("operator", c.w.chance.IntN(3), state.Command{Kind: state.KindReadConfig}, func(a state.Result, ok bool) {
 		if ok && a.Code.IsSuccess() && known > 0 {
 			c.count("plan-went-back")
 			if a.Config == nil || a.Config.Version < known {
--- a/tool/sim/center_plan.go
+++ b/tool/sim/center_plan.go
@@ -1,30 +1,31 @@
 // The plan of the composition of centers, as a translator makes it.
+
 package sim
 
 import (
 	"time"
 
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
 )
 
-func millis(ms int64) plan.Duration {
-	return plan.Duration{Duration: time.Duration(ms) * time.Millisecond}
+func millis(ms int64) config.Duration {
+	return config.Duration{Duration: time.Duration(ms) * time.Millisecond}
 }
 
 // centerPlan is a plan as an outside system's translator makes it.
 func centerPlan(priority int) []byte {
-	p := plan.Default()
+	p := config.Default()
 	p.Zones = []string{"a", "b", "c"}
-	p.Policies = plan.Policies{Order: "priority", Borrow: "true"}
-	p.Services = map[string]plan.Service{
-		centerMain: {AllowAnyLabel: true, Classes: map[string]plan.Class{
-			"lookup": {Priority: 1000, Quick: true, Share: 33, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
-			"batch":  {Priority: 990, Share: 33, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
-			"long":   {Priority: priority, Share: 33, MaxFailures: 5, LostWorkerPolicy: plan.RestartOnLostWorker},
+	p.Policies = config.Policies{Order: "priority", Borrow: "true"}
+	p.Services = map[string]config.Service{
+		centerMain: {AllowAnyLabel: true, Classes: map[string]config.Class{
+			"lookup": {Priority: 1000, Quick: true, Share: 33, MaxFailures: 3, LostWorkerPolicy: config.RestartOnLostWorker},
+			"batch":  {Priority: 990, Share: 33, MaxFailures: 3, LostWorkerPolicy: config.RestartOnLostWorker},
+			"long":   {Priority: priority, Share: 33, MaxFailures: 5, LostWorkerPolicy: config.RestartOnLostWorker},
 		}},
-		centerOther: {AllowAnyLabel: true, Classes: map[string]plan.Class{
-			"print": {Priority: 990, Share: 100, MaxFailures: 3, LostWorkerPolicy: plan.RestartOnLostWorker},
+		centerOther: {AllowAnyLabel: true, Classes: map[string]config.Class{
+			"print": {Priority: 990, Share: 100, MaxFailures: 3, LostWorkerPolicy: config.RestartOnLostWorker},
 		}},
 	}
 	for _, class := range []string{"lookup", "batch", "long", "print"} {
@@ -32,7 +33,7 @@
 		if class == "print" {
 			service = centerOther
 		}
-		p.Routes = append(p.Routes, plan.Route{
+		p.Routes = append(p.Routes, config.Route{
 			Name: class, Host: centerHost, Prefix: "/" + class, Service: service, Class: class,
 		})
 	}
--- a/tool/sim/center_result.go
+++ b/tool/sim/center_result.go
@@ -1,13 +1,14 @@
 // What a day of the composition of centers came to.
+
 package sim
 
 import (
 	"sort"
 	"time"
 
-	"sorrelloom/core/center"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/control"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 )
 
 // CenterChecks names every check of this composition.
@@ -26,7 +27,7 @@
 	if n == nil || c.w.Verbose == nil {
 		return
 	}
-	l := n.main.(*center.Control).Replica().Store()
+	l := n.main.(*control.Control).Replica().Store()
 	for _, one := range c.callers {
 		if one.acceptedAt > 0 && one.overAt == 0 {
 			job, _ := l.Job(one.spec.ID)
@@ -71,7 +72,7 @@
 		if one.acceptedAt > 0 {
 			res.Accepted++
 		}
-		if one.state == ledger.Done {
+		if one.state == state.Done {
 			res.Done++
 		}
 		if one.gaveUpAt > 0 {
@@ -86,7 +87,7 @@
 		}
 	}
 	for _, n := range c.centers {
-		if m, ok := n.main.(*center.Control); ok {
+		if m, ok := n.main.(*control.Control); ok {
 			res.Views = max(res.Views, m.Replica().View().Epoch)
 		}
 	}
--- a/tool/sim/centers.go
+++ b/tool/sim/centers.go
@@ -1,6 +1,7 @@
 // The other composition of the daemons: three centers, each a keeper with its own
 // dispatcher, three doors that carry commands to them, and a side beside each of
 // eleven workers. Callers hand in jobs in steps through the doors.
+
 package sim
 
 import (
@@ -9,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 )
 
 const (
@@ -121,7 +122,7 @@
 
 // addPlace brings a worker's machine with its side in.
 func (c *Centers) addPlace(i int, seeds []string) {
-	p := &place{number: i + 1, address: fmt.Sprintf("10.%d.3.%d", i%3, i+1), site: c.siteOf(i), rack: fmt.Sprintf("r%d", i/3), service: centerMain, total: ledger.Resources{Slots: c.size.Slots, MemoryMB: 64}}
+	p := &place{number: i + 1, address: fmt.Sprintf("10.%d.3.%d", i%3, i+1), site: c.siteOf(i), rack: fmt.Sprintf("r%d", i/3), service: centerMain, total: state.Resources{Slots: c.size.Slots, MemoryMB: 64}}
 	if i%4 == 0 {
 		p.labels = []string{"ssd"}
 	}
--- a/tool/sim/centers_test.go
+++ b/tool/sim/centers_test.go
@@ -1,5 +1,6 @@
 // Fixed seeds of the composition of centers, doors and sides, and variants of it
 // that are broken on purpose, each found by the check that should notice.
+
 package sim
 
 import (
@@ -8,10 +9,10 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/code"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/config"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
 	"sorrelloom/core/wire"
 )
 
@@ -109,9 +110,9 @@
 }
 
 // alterSteps changes the steps of every job on its way from a door to a center.
-func alterSteps(c *Centers, change func(*ledger.JobSpec)) {
+func alterSteps(c *Centers, change func(*state.JobSpec)) {
 	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
-		if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindAcceptJob {
+		if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == state.KindAcceptJob {
 			b.Command.Job.Steps = slices.Clone(b.Command.Job.Steps)
 			change(&b.Command.Job)
 			s.Body = b
@@ -121,7 +122,7 @@
 }
 
 // alterAnswer changes the answers to commands on their way to a door.
-func alterAnswer(c *Centers, change func(a *ledger.Result)) {
+func alterAnswer(c *Centers, change func(a *state.Result)) {
 	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
 		if b, ok := s.Body.(wire.CommandReply); ok {
 			change(&b.Result)
@@ -132,10 +133,10 @@
 }
 
 // alterStarts changes the starts on their way to a side.
-func alterStarts(c *Centers, change func(ledger.StartOrder) (ledger.StartOrder, bool)) {
+func alterStarts(c *Centers, change func(state.StartOrder) (state.StartOrder, bool)) {
 	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
 		if b, ok := s.Body.(wire.HeartbeatReply); ok {
-			var starts []ledger.StartOrder
+			var starts []state.StartOrder
 			for _, start := range b.Result.Heartbeat.Starts {
 				if start, keep := change(start); keep {
 					starts = append(starts, start)
@@ -149,7 +150,7 @@
 }
 
 // alterEnds changes the ends in what a side reports.
-func alterEnds(c *Centers, change func(*ledger.AttemptResult)) {
+func alterEnds(c *Centers, change func(*state.AttemptResult)) {
 	c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
 		if b, ok := s.Body.(wire.HeartbeatRequest); ok {
 			b.Heartbeat.Ended = slices.Clone(b.Heartbeat.Ended)
@@ -186,7 +187,7 @@
 		}},
 		{"twice-at-once", "workers run on behind a cut when their hold is over", func(c *Centers) {
 			c.w.At(8*time.Second, func() {
-				c.submit(c.job("long", "longest", []ledger.StepSpec{{Count: 20}}, []int64{15000}, ledger.Repeat{}))
+				c.submit(c.job("long", "longest", []state.StepSpec{{Count: 20}}, []int64{15000}, state.Repeat{}))
 			})
 			workers(c, 8*time.Second, func(b *beside) {
 				b.keeps = true
@@ -196,28 +197,28 @@
 			})
 		}},
 		{"again-after-good", "a good end is told as a lost one", func(c *Centers) {
-			alterEnds(c, func(e *ledger.AttemptResult) {
+			alterEnds(c, func(e *state.AttemptResult) {
 				if strings.HasPrefix(e.Job, "batch-1") && e.Number == 1 {
 					e.Succeeded, e.Lost = false, true
 				}
 			})
 		}},
 		{"before-dependency", "steps do not wait", func(c *Centers) {
-			alterSteps(c, func(j *ledger.JobSpec) {
+			alterSteps(c, func(j *state.JobSpec) {
 				for i := range j.Steps {
 					j.Steps[i].DependsOn = nil
 				}
 			})
 		}},
 		{"before-due", "a repeated job comes too early", func(c *Centers) {
-			alterSteps(c, func(j *ledger.JobSpec) {
+			alterSteps(c, func(j *state.JobSpec) {
 				if j.Repeat.Count > 0 {
 					j.Repeat.FirstAt = j.Repeat.FirstAt.Add(-2 * time.Second)
 				}
 			})
 		}},
 		{"wrong-worker", "labels are left out", func(c *Centers) {
-			alterSteps(c, func(j *ledger.JobSpec) {
+			alterSteps(c, func(j *state.JobSpec) {
 				for i := range j.Steps {
 					j.Steps[i].Labels = nil
 				}
@@ -225,12 +226,12 @@
 		}},
 		{"over-room", "workers say that they have more", func(c *Centers) {
 			for _, p := range c.places {
-				p.lies = ledger.Resources{Slots: 100, MemoryMB: 100}
+				p.lies = state.Resources{Slots: 100, MemoryMB: 100}
 			}
 			c.w.At(10*time.Second, func() { CenterKinds["crowd"](c) })
 		}},
 		{"crowded-worker", "the bound for each worker is left out", func(c *Centers) {
-			alterSteps(c, func(j *ledger.JobSpec) {
+			alterSteps(c, func(j *state.JobSpec) {
 				for i := range j.Steps {
 					j.Steps[i].MaxPerWorker = 0
 				}
@@ -238,14 +239,14 @@
 		}},
 		{"defects-spent", "failures are told as lost", func(c *Centers) {
 			workers(c, 3*time.Second, func(b *beside) { b.fails = true })
-			alterEnds(c, func(e *ledger.AttemptResult) { e.Lost = e.Lost || !e.Succeeded && !e.Stopped })
+			alterEnds(c, func(e *state.AttemptResult) { e.Lost = e.Lost || !e.Succeeded && !e.Stopped })
 		}},
 		{"gang-alone", "one member of each gang is not told, and said to run", func(c *Centers) {
-			untold := map[string][]ledger.Attempt{}
+			untold := map[string][]state.Attempt{}
 			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
 				switch b := s.Body.(type) {
 				case wire.HeartbeatReply:
-					var starts []ledger.StartOrder
+					var starts []state.StartOrder
 					for _, start := range b.Result.Heartbeat.Starts {
 						if start.Gang != "" && strings.HasSuffix(start.Task, ".1") {
 							untold[s.To] = append(untold[s.To], start.Attempt)
@@ -272,7 +273,7 @@
 		}},
 		{"start-in-emptied-site", "the order to empty a site is turned round", func(c *Centers) {
 			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
-				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindDrainZone {
+				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == state.KindDrainZone {
 					b.Command.Drain = false
 					s.Body = b
 				}
@@ -282,60 +283,60 @@
 		}},
 		{"start-after-cancel", "a cancel is carried as a question", func(c *Centers) {
 			c.w.alter = func(n *node, s machine.OutgoingMessage) machine.OutgoingMessage {
-				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == ledger.KindCancelJob {
-					b.Command.Kind = ledger.KindReadJob
+				if b, ok := s.Body.(wire.CommandRequest); ok && b.Command.Kind == state.KindCancelJob {
+					b.Command.Kind = state.KindReadJob
 					s.Body = b
 				}
 				return s
 			}
 			c.w.At(8*time.Second, func() {
-				one := c.job("batch", "cancelled", []ledger.StepSpec{{Count: 1}}, []int64{100}, ledger.Repeat{Count: 5, FirstAt: c.w.wall(), Every: millis(2000)})
+				one := c.job("batch", "cancelled", []state.StepSpec{{Count: 1}}, []int64{100}, state.Repeat{Count: 5, FirstAt: c.w.wall(), Every: millis(2000)})
 				c.submit(one)
 				c.w.After(time.Second, func() { c.cancel(one) })
 			})
 		}},
 		{"finished-with-open-task", "what runs shows as done", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Result) {
-				if a.Job.State == ledger.Running {
-					a.Job.State = ledger.Done
+			alterAnswer(c, func(a *state.Result) {
+				if a.Job.State == state.Running {
+					a.Job.State = state.Done
 				}
 			})
 		}},
 		{"plan-went-back", "an older plan is read", func(c *Centers) {
 			c.w.At(9*time.Second, c.change)
-			alterAnswer(c, func(a *ledger.Result) {
+			alterAnswer(c, func(a *state.Result) {
 				if a.Config != nil {
-					a.Config = &plan.Config{Version: 1}
+					a.Config = &config.Config{Version: 1}
 				}
 			})
 		}},
 		{"quick-behind-batch", "the first starts of quick work are lost", func(c *Centers) {
-			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) {
+			alterStarts(c, func(s state.StartOrder) (state.StartOrder, bool) {
 				return s, s.Class != "lookup" || c.w.Now > 20*time.Second
 			})
 		}},
 		{"long-unfinished", "the starts of one job are lost", func(c *Centers) {
-			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) { return s, s.Job != "long-1" })
+			alterStarts(c, func(s state.StartOrder) (state.StartOrder, bool) { return s, s.Job != "long-1" })
 		}},
 		{"not-served-again", "nothing is started any more", func(c *Centers) {
-			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) { return s, !strings.HasPrefix(s.Job, "probe") })
+			alterStarts(c, func(s state.StartOrder) (state.StartOrder, bool) { return s, !strings.HasPrefix(s.Job, "probe") })
 		}},
 		{"bounce-without-time", "a full inbox names no time", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Result) {
-				if a.Code == code.OK && c.w.chance.IntN(5) == 0 {
-					*a = ledger.Result{Code: code.QueueFull}
+			alterAnswer(c, func(a *state.Result) {
+				if a.Code == status.OK && c.w.chance.IntN(5) == 0 {
+					*a = state.Result{Code: status.QueueFull}
 				}
 			})
 		}},
 		{"refused-and-run", "a job that is taken is refused", func(c *Centers) {
-			alterAnswer(c, func(a *ledger.Result) {
-				if a.Code == code.OK && c.w.chance.IntN(5) == 0 {
-					*a = ledger.Result{Code: code.QueueFull, RetryAfter: time.Second}
+			alterAnswer(c, func(a *state.Result) {
+				if a.Code == status.OK && c.w.chance.IntN(5) == 0 {
+					*a = state.Result{Code: status.QueueFull, RetryAfter: time.Second}
 				}
 			})
 		}},
 		{"saved-of-another", "another task's text is handed over", func(c *Centers) {
-			alterStarts(c, func(s ledger.StartOrder) (ledger.StartOrder, bool) {
+			alterStarts(c, func(s state.StartOrder) (state.StartOrder, bool) {
 				s.Checkpoint = "other/0.0.0:40"
 				return s, true
 			})
--- a/tool/sim/control_faults.go
+++ b/tool/sim/control_faults.go
@@ -1,6 +1,7 @@
 // Faults of the core machines, their disks, clocks and connections, beside those of
 // CenterKinds. They are mixed on the control days only, so that older days stay as
 // they are.
+
 package sim
 
 import (
--- a/tool/sim/control_test.go
+++ b/tool/sim/control_test.go
@@ -1,5 +1,6 @@
 // Control days: faults of the core machines, their disks, clocks and connections,
 // mixed by seed, on processors that can be too busy.
+
 package sim
 
 import (
--- a/tool/sim/disk.go
+++ b/tool/sim/disk.go
@@ -1,4 +1,5 @@
 // The disks of simulated processes: what a batch takes, and what may be wrong.
+
 package sim
 
 import (
--- a/tool/sim/grown.go
+++ b/tool/sim/grown.go
@@ -1,5 +1,6 @@
 // The grown day: many workers, ten core processes that bear the loss of two at once,
 // and steady traffic, with processors, connections and disks that have bounds.
+
 package sim
 
 import (
@@ -9,8 +10,8 @@
 	"strings"
 	"time"
 
-	"sorrelloom/core/ledger"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 )
 
 // Size is how many machines a site of centers, doors and sides has.
@@ -139,8 +140,8 @@
 func (c *Centers) earlier() {
 	for i := range earlierJobs {
 		c.w.At(earlierBegin+time.Duration(i)*earlierEach, func() {
-			due := ledger.Repeat{Count: 1, FirstAt: c.w.wall().Add(time.Hour).Truncate(time.Second), Every: millis(1000)}
-			one := c.job("batch", fmt.Sprintf("earlier-%d", i), []ledger.StepSpec{{Count: earlierTasks}}, []int64{100}, due)
+			due := state.Repeat{Count: 1, FirstAt: c.w.wall().Add(time.Hour).Truncate(time.Second), Every: millis(1000)}
+			one := c.job("batch", fmt.Sprintf("earlier-%d", i), []state.StepSpec{{Count: earlierTasks}}, []int64{100}, due)
 			one.asks.Payload = payload(100, earlierPayload)
 			c.submit(one)
 			c.w.After(200*time.Millisecond, func() { c.cancel(one) })
@@ -214,8 +215,8 @@
 		for i, at := 0, begin; at < end; i, at = i+1, at+gap {
 			number := i
 			c.w.At(at+time.Duration(c.w.chance.Int64N(int64(gap))), func() {
-				steps := []ledger.StepSpec{{Count: s.tasks}}
-				one := c.job(s.class, fmt.Sprintf("%s-%d", s.class, number), steps, []int64{s.runMs}, ledger.Repeat{})
+				steps := []state.StepSpec{{Count: s.tasks}}
+				one := c.job(s.class, fmt.Sprintf("%s-%d", s.class, number), steps, []int64{s.runMs}, state.Repeat{})
 				one.asks.Payload = payload(s.runMs, grownPayload)
 				c.submit(one)
 			})
--- a/tool/sim/grown_test.go
+++ b/tool/sim/grown_test.go
@@ -1,4 +1,5 @@
 // The grown day with processors that can be too busy.
+
 package sim
 
 import (
--- a/tool/sim/hardware.go
+++ b/tool/sim/hardware.go
@@ -1,4 +1,5 @@
 // What the machines of the grown days have, and where the figures come from.
+
 package sim
 
 import "time"
--- a/tool/sim/hardware_test.go
+++ b/tool/sim/hardware_test.go
@@ -1,4 +1,5 @@
 // Processors and connections with bounds, on a pair of processes of their own.
+
 package sim
 
 import (
--- a/tool/sim/heard.go
+++ b/tool/sim/heard.go
@@ -1,21 +1,22 @@
 // When a request could be heard: bounds count from the first moment at which the
 // daemons could have committed it, by what the simulation did to them.
+
 package sim
 
 import (
 	"slices"
 
-	"sorrelloom/core/center"
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/control"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
 )
 
 // ledgerOf is the replica of the ledger that runs in a node, nil if none does.
-func ledgerOf(n *node) *keeper.Replica {
+func ledgerOf(n *node) *replica.Replica {
 	switch m := n.main.(type) {
-	case *keeper.Replica:
+	case *replica.Replica:
 		return m
-	case *center.Control:
+	case *control.Control:
 		return m.Replica()
 	}
 	return nil
@@ -43,6 +44,6 @@
 }
 
 // isMember says whether a replica, by its identity, is a member of a view.
-func isMember(view wire.View, k *keeper.Replica) bool {
+func isMember(view wire.View, k *replica.Replica) bool {
 	return k != nil && slices.ContainsFunc(view.Voters, func(s wire.Member) bool { return s.ID == k.ID() })
 }
--- a/tool/sim/heard_test.go
+++ b/tool/sim/heard_test.go
@@ -1,24 +1,25 @@
 // The moment from which the bounds count, shown right in both directions: no
 // earlier than a request can be committed, and no later.
+
 package sim
 
 import (
 	"testing"
 	"time"
 
-	"sorrelloom/core/front"
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/replica"
 )
 
 // replicas are a scenario's keepers by their part in the view.
 type replicas struct{ leader, backup, third *node }
 
 func replicasOf(s *Scenario) replicas {
-	view := s.primary().main.(*keeper.Replica).View()
+	view := s.primary().main.(*replica.Replica).View()
 	var r replicas
 	for _, n := range s.keepers {
-		switch id := n.main.(*keeper.Replica).ID(); id {
+		switch id := n.main.(*replica.Replica).ID(); id {
 		case view.Primary.ID:
 			r.leader = n
 		case view.Backups[0].ID:
@@ -68,8 +69,8 @@
 						t.Errorf("heard=%v, want %v", heard, row.heard)
 					}
 					answered := false
-					ask := machine.Request{Kind: front.RequestDrainZone, Name: s.sites[0], Enable: true, IdempotencyKey: "heard"}
-					s.w.Call("operator", s.sites[0], s.frontFor(0), ask, asking, func(r front.Reply, ok bool) {
+					ask := machine.Request{Kind: gateway.RequestDrainZone, Name: s.sites[0], Enable: true, IdempotencyKey: "heard"}
+					s.w.Call("operator", s.sites[0], s.frontFor(0), ask, asking, func(r gateway.Reply, ok bool) {
 						answered = ok && r.StatusCode == 200
 					})
 					s.w.After(asking, func() {
--- a/tool/sim/held.go
+++ b/tool/sim/held.go
@@ -1,5 +1,6 @@
 // Lines that are lost or late: connections that are reset, and lines that a cut holds
 // back and lets go when it ends, as a connection does that outlives a short cut.
+
 package sim
 
 import "sorrelloom/core/machine"
--- a/tool/sim/keepers_test.go
+++ b/tool/sim/keepers_test.go
@@ -1,4 +1,5 @@
 // How long the whole fleet is without what a keeper's loss takes away.
+
 package sim
 
 import (
@@ -7,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
 )
 
@@ -52,9 +53,9 @@
 // time until that had its seat.
 func empty(s *Scenario, who string, elsewhere bool, after time.Duration, took *time.Duration, bound time.Duration) {
 	s.hurt(9 * time.Second)
-	view := s.primary().main.(*keeper.Replica).View()
+	view := s.primary().main.(*replica.Replica).View()
 	i := slices.IndexFunc(s.keepers, func(n *node) bool {
-		id := n.main.(*keeper.Replica).ID()
+		id := n.main.(*replica.Replica).ID()
 		return id == view.Primary.ID && who == "primary" || id == view.Backups[0].ID && who == "backup" || id != view.Primary.ID && id != view.Backups[0].ID && who == "third"
 	})
 	n := s.keepers[i]
@@ -71,10 +72,10 @@
 		} else {
 			s.w.Boot(n)
 		}
-		from, id := s.w.Now, n.main.(*keeper.Replica).ID()
+		from, id := s.w.Now, n.main.(*replica.Replica).ID()
 		var look func()
 		look = func() {
-			if p := s.primary(); p != nil && slices.ContainsFunc(p.main.(*keeper.Replica).View().Voters, func(w wire.Member) bool { return w.ID == id }) {
+			if p := s.primary(); p != nil && slices.ContainsFunc(p.main.(*replica.Replica).View().Voters, func(w wire.Member) bool { return w.ID == id }) {
 				*took = s.w.Now - from
 			} else if s.w.Now-from > 2*bound {
 				*took = 2 * bound
--- a/tool/sim/lines.go
+++ b/tool/sim/lines.go
@@ -1,5 +1,6 @@
 // The brief's lines by name: what each promises, the checks that judge it, and
 // the faults that bring its failure about. One command plays one line.
+
 package sim
 
 import (
--- a/tool/sim/link.go
+++ b/tool/sim/link.go
@@ -1,6 +1,7 @@
 // Connections between simulated processes, as daemon/circuit has them: one to each
 // peer, with a queue of lines before it and a bounded window behind it. A process
 // sends with a bounded rate, shared by its connections in turn.
+
 package sim
 
 import (
--- a/tool/sim/measure.go
+++ b/tool/sim/measure.go
@@ -1,5 +1,6 @@
 // Measurements in virtual time, each as paired runs: the same seed with one
 // thing changed. They print figures and judge nothing.
+
 package sim
 
 import (
@@ -11,10 +12,10 @@
 	"sync"
 	"time"
 
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/state"
 	"sorrelloom/daemon/pool"
 	"sorrelloom/tool/deploy"
-	"sorrelloom/tool/worker"
+	"sorrelloom/tool/fakeworker"
 )
 
 // PlayAll plays several days at once; each is a world of its own.
@@ -101,7 +102,7 @@
 			days = append(days, Env{Seed: seed + 1, Deployment: d, For: 20 * time.Second, Central: central, Quiet: true, Prepare: func(s *Scenario) {
 				two := d.Traffic[1]
 				two.StepWidths, two.RunMs, two.Cores = []int{4, 4}, 400, 1
-				s.w.At(7*time.Second, func() { s.hand(0).set(s.w.Now, worker.Faults{Slow: 4}) })
+				s.w.At(7*time.Second, func() { s.hand(0).set(s.w.Now, fakeworker.Faults{Slow: 4}) })
 				for i := range 60 {
 					s.w.At(8*time.Second, func() {
 						c := s.job(two, fmt.Sprintf("two-%d", i))
@@ -221,7 +222,7 @@
 			where[r.Job+"/"+r.Task] = r.Worker
 		}
 	}
-	specs := map[string]ledger.TaskSpec{}
+	specs := map[string]state.TaskSpec{}
 	for _, c := range n.callers {
 		for _, t := range c.spec.Tasks {
 			specs[c.spec.ID+"/"+t.ID] = t
--- a/tool/sim/oracle.go
+++ b/tool/sim/oracle.go
@@ -2,6 +2,7 @@
 // never from the ledger's opinion of itself: one named check for each promise
 // of the brief, with its bound. It counts how often each check had something to
 // judge, and what it excused, since a check that judged nothing proves nothing.
+
 package sim
 
 import (
@@ -12,8 +13,8 @@
 	"time"
 
 	"sorrelloom/core/dispatch"
-	"sorrelloom/core/ledger"
-	"sorrelloom/tool/worker"
+	"sorrelloom/core/state"
+	"sorrelloom/tool/fakeworker"
 )
 
 // Violation is one broken promise.
@@ -133,7 +134,7 @@
 		n.fault("wrong-worker", "%s runs and nobody asked for it", key)
 		return
 	}
-	var spec ledger.TaskSpec
+	var spec state.TaskSpec
 	for _, t := range c.spec.Tasks {
 		if c.spec.ID+"/"+t.ID == key {
 			spec = t
@@ -248,7 +249,7 @@
 func (n *notes) overtaken(byTask map[string][]run) {
 	type wait struct {
 		c        *caller
-		task     ledger.TaskSpec
+		task     state.TaskSpec
 		from, to time.Duration
 		runs     []run
 	}
@@ -323,7 +324,7 @@
 }
 
 // couldRun says whether a task would have fitted where another one started.
-func (n *notes) couldRun(task ledger.TaskSpec, r run) bool {
+func (n *notes) couldRun(task state.TaskSpec, r run) bool {
 	labels := n.hands[r.Worker].env.Labels
 	for _, label := range task.Labels {
 		if !slices.Contains(labels, label) {
@@ -394,7 +395,7 @@
 
 // known counts the defects of a task that were taken note of before a run began.
 // The bad end of one member counts for its whole gang, once for each try.
-func (n *notes) known(c *caller, spec ledger.TaskSpec, byTask map[string][]run, r run) int {
+func (n *notes) known(c *caller, spec state.TaskSpec, byTask map[string][]run, r run) int {
 	tries := map[int]bool{}
 	for _, other := range c.spec.Tasks {
 		if other.ID != spec.ID && (spec.Gang == "" || other.Gang != spec.Gang) {
@@ -446,7 +447,7 @@
 func (n *notes) workerRuns(h *hand, runs []run) {
 	type edge struct {
 		at   time.Duration
-		room ledger.Resources
+		room state.Resources
 		sign int
 	}
 	var edges []edge
@@ -456,7 +457,7 @@
 	sort.SliceStable(edges, func(i, j int) bool {
 		return edges[i].at < edges[j].at || edges[i].at == edges[j].at && edges[i].sign < edges[j].sign
 	})
-	var used ledger.Resources
+	var used state.Resources
 	for _, e := range edges {
 		if e.sign > 0 {
 			n.count("over-room")
@@ -499,7 +500,7 @@
 			n.fault("not-served-again", "probe %s of class %s sent at %s, accepted at %s, first run at %s", id, c.spec.Class, secs(c.sentAt), secs(c.acceptedAt), secs(first))
 		}
 	}
-	if c.state == ledger.Failed && c.dependable {
+	if c.state == state.Failed && c.dependable {
 		n.fault("long-unfinished", "%s failed, though nothing in it was to fail", id)
 	}
 	if c.spec.Class != quickClass(c.spec.Service) || c.acceptedAt == 0 || n.disturbed(c.sentAt, c.sentAt+quickBound) {
@@ -518,7 +519,7 @@
 
 // available says whether some worker with a task's labels was there for a while:
 // neither silent nor leaving, nor in an emptied site.
-func (n *notes) available(task ledger.TaskSpec, from, to time.Duration) bool {
+func (n *notes) available(task state.TaskSpec, from, to time.Duration) bool {
 	for _, h := range n.hands {
 		fits := !slices.ContainsFunc(task.Labels, func(label string) bool { return !slices.Contains(h.env.Labels, label) })
 		over := func(s [2]time.Duration) bool { return s[0] < to && (s[1] == 0 || s[1]+quickBound > from) }
@@ -582,8 +583,8 @@
 
 // Story is what was noted of a real fleet, in one clock.
 type Story struct {
-	Runs    []worker.Run
-	Workers []worker.Env
+	Runs    []fakeworker.Run
+	Workers []fakeworker.Env
 	Jobs    []JobNote
 	Emptied []SiteNote
 	Left    []WorkerNote
@@ -592,7 +593,7 @@
 // JobNote is a job as its caller saw it; Cancelled and Over are when the answers
 // came, zero if none did.
 type JobNote struct {
-	Spec            ledger.JobSpec
+	Spec            state.JobSpec
 	Cancelled, Over time.Duration
 	State           string
 }
@@ -614,7 +615,7 @@
 func JudgeStory(s Story) ([]Violation, map[string]int) {
 	n := newNotes()
 	for _, e := range s.Workers {
-		n.hands[e.ID] = &hand{env: e, w: worker.New(e), acked: map[ledger.Attempt]time.Duration{}}
+		n.hands[e.ID] = &hand{env: e, w: fakeworker.New(e), acked: map[state.Attempt]time.Duration{}}
 	}
 	for _, j := range s.Jobs {
 		c := &caller{spec: j.Spec, state: j.State, overAt: j.Over, cancelAt: j.Cancelled}
--- a/tool/sim/oracle_test.go
+++ b/tool/sim/oracle_test.go
@@ -1,29 +1,30 @@
 // Every check of the oracle is shown able to fail: each row is a short history
 // that breaks one promise and no other, beside the same history kept whole.
+
 package sim
 
 import (
 	"testing"
 	"time"
 
-	"sorrelloom/core/ledger"
-	"sorrelloom/tool/worker"
+	"sorrelloom/core/state"
+	"sorrelloom/tool/fakeworker"
 )
 
 const second = time.Second
 
 // history is two workers, one of them with a label, and one two-step job.
 func history() *notes {
-	job := &caller{spec: ledger.JobSpec{ID: "j", Service: "tickets", Class: "check", Tasks: []ledger.TaskSpec{
-		{ID: "a", Resources: ledger.Resources{Slots: 1}}, {ID: "b", DependsOn: []string{"a"}, Resources: ledger.Resources{Slots: 1}},
-	}}, sentAt: second, acceptedAt: second, state: ledger.Done, overAt: 20 * second, dependable: true}
+	job := &caller{spec: state.JobSpec{ID: "j", Service: "tickets", Class: "check", Tasks: []state.TaskSpec{
+		{ID: "a", Resources: state.Resources{Slots: 1}}, {ID: "b", DependsOn: []string{"a"}, Resources: state.Resources{Slots: 1}},
+	}}, sentAt: second, acceptedAt: second, state: state.Done, overAt: 20 * second, dependable: true}
 	made := newNotes()
 	n := &made
 	n.callers, n.end = []*caller{job}, 60*second
 	n.share["lookup"] = 26
 	for _, id := range []string{"w1", "w2"} {
-		e := worker.Env{ID: id, Site: "a", Service: "tickets", Total: ledger.Resources{Slots: 1}}
-		n.hands[id] = &hand{env: e, w: worker.New(e), acked: map[ledger.Attempt]time.Duration{}}
+		e := fakeworker.Env{ID: id, Site: "a", Service: "tickets", Total: state.Resources{Slots: 1}}
+		n.hands[id] = &hand{env: e, w: fakeworker.New(e), acked: map[state.Attempt]time.Duration{}}
 	}
 	n.add("a", 1, "w1", 2*second, 4*second, "good")
 	n.add("b", 1, "w1", 5*second, 8*second, "good")
@@ -31,8 +32,8 @@
 }
 
 func (n *notes) add(task string, try int, on string, from, to time.Duration, outcome string) *run {
-	a := ledger.Attempt{Job: "j", Task: task, Number: try}
-	n.runs = append(n.runs, run{Run: worker.Run{Attempt: a, Worker: on, Room: ledger.Resources{Slots: 1}, Outcome: outcome}, from: from, to: to})
+	a := state.Attempt{Job: "j", Task: task, Number: try}
+	n.runs = append(n.runs, run{Run: fakeworker.Run{Attempt: a, Worker: on, Room: state.Resources{Slots: 1}, Outcome: outcome}, from: from, to: to})
 	if outcome == "good" {
 		n.hands[on].acked[a] = to + 10*time.Millisecond
 	}
@@ -41,15 +42,15 @@
 
 // unsaid has the worker finish b well and never be heard again.
 func (n *notes) unsaid() {
-	n.hands["w1"].acked = map[ledger.Attempt]time.Duration{}
+	n.hands["w1"].acked = map[state.Attempt]time.Duration{}
 	n.hands["w1"].unheard = [][2]time.Duration{{7 * second, 0}}
 }
 
 // quickWaits adds a lookup that waits from 3 s to 6 s, while b starts at 5 s.
 func (n *notes) quickWaits() {
-	n.callers = append(n.callers, &caller{spec: ledger.JobSpec{ID: "q", Service: "tickets", Class: "lookup", Tasks: []ledger.TaskSpec{{ID: "t", Resources: ledger.Resources{Slots: 1}}}},
-		sentAt: 3 * second, acceptedAt: 4200 * time.Millisecond, state: ledger.Done, overAt: 20 * second})
-	n.runs = append(n.runs, run{Run: worker.Run{Attempt: ledger.Attempt{Job: "q", Task: "t", Number: 1}, Worker: "w2", Class: "lookup", Service: "tickets", Room: ledger.Resources{Slots: 1}, Outcome: "good"}, from: 6 * second, to: 7 * second})
+	n.callers = append(n.callers, &caller{spec: state.JobSpec{ID: "q", Service: "tickets", Class: "lookup", Tasks: []state.TaskSpec{{ID: "t", Resources: state.Resources{Slots: 1}}}},
+		sentAt: 3 * second, acceptedAt: 4200 * time.Millisecond, state: state.Done, overAt: 20 * second})
+	n.runs = append(n.runs, run{Run: fakeworker.Run{Attempt: state.Attempt{Job: "q", Task: "t", Number: 1}, Worker: "w2", Class: "lookup", Service: "tickets", Room: state.Resources{Slots: 1}, Outcome: "good"}, from: 6 * second, to: 7 * second})
 	for i := range n.runs[:2] {
 		n.runs[i].Class, n.runs[i].Service = "check", "tickets"
 	}
@@ -103,18 +104,18 @@
 		{"defects-spent", func(n *notes) { n.inSteps(true) }},
 		{"", func(n *notes) { n.inSteps(false) }},
 		{"gang-alone", func(n *notes) {
-			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
+			n.callers[0].spec.Tasks = []state.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
 			n.runs = n.runs[:1]
 			n.runs[0].Gang, n.runs[0].to, n.runs[0].alone = "g", 5*second, true
 		}},
 		{"", func(n *notes) {
-			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
+			n.callers[0].spec.Tasks = []state.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
 			n.runs = n.runs[:1]
 			n.runs[0].Gang, n.runs[0].to, n.runs[0].alone = "g", 5*second, true
 			n.faulty = [][2]time.Duration{{3 * second, 6 * second}}
 		}},
 		{"crowded-worker", func(n *notes) {
-			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Placement: ledger.Placement{MaxPerWorker: 1}}, {ID: "b", Placement: ledger.Placement{MaxPerWorker: 1}}}
+			n.callers[0].spec.Tasks = []state.TaskSpec{{ID: "a", Placement: state.Placement{MaxPerWorker: 1}}, {ID: "b", Placement: state.Placement{MaxPerWorker: 1}}}
 			n.hands["w1"].env.Total.Slots = 2
 			n.runs[1].from = 3 * second
 		}},
@@ -135,7 +136,7 @@
 			n.callers[0].spec.Tasks[1].AllowsDuplicates = true
 		}},
 		{"gang-alone", func(n *notes) {
-			n.callers[0].spec.Tasks = []ledger.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
+			n.callers[0].spec.Tasks = []state.TaskSpec{{ID: "a", Gang: "g"}, {ID: "b", Gang: "g"}}
 			n.runs = n.runs[:1]
 			n.runs[0].Gang, n.runs[0].to = "g", 15*second
 		}},
@@ -156,7 +157,7 @@
 		{"", func(n *notes) { n.quickWaits(); n.share["lookup"] = 0 }},
 		{"", func(n *notes) { n.quickWaits(); n.faulty = [][2]time.Duration{{3 * second, 6 * second}} }},
 		{"long-unfinished", func(n *notes) { n.callers[0].overAt = 0 }},
-		{"long-unfinished", func(n *notes) { n.callers[0].state = ledger.Failed }},
+		{"long-unfinished", func(n *notes) { n.callers[0].state = state.Failed }},
 		{"not-served-again", func(n *notes) { n.callers[0].probe, n.callers[0].acceptedAt = true, 5*second }},
 		{"not-served-again", func(n *notes) {
 			n.callers[0].probe, n.runs[0].from, n.runs[0].to = true, 30*second, 31*second
--- a/tool/sim/processor.go
+++ b/tool/sim/processor.go
@@ -1,6 +1,7 @@
 // The processor of a simulated process. What a machine does costs processor time
 // here, so that a process can be too busy to answer in time. Off unless the world
 // has a Hardware.
+
 package sim
 
 import (
--- a/tool/sim/scenario.go
+++ b/tool/sim/scenario.go
@@ -1,6 +1,7 @@
 // One scenario: a fleet of 17 daemons and 11 workers in three sites, the
 // brief's traffic with gangs and labels in it, faults of the chosen kinds at
 // times drawn from the seed, one last fault, and probes 12 seconds after it.
+
 package sim
 
 import (
@@ -11,13 +12,13 @@
 	"strings"
 	"time"
 
-	"sorrelloom/core/front"
-	"sorrelloom/core/keeper"
-	"sorrelloom/core/ledger"
+	"sorrelloom/core/config"
+	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/plan"
+	"sorrelloom/core/replica"
+	"sorrelloom/core/state"
 	"sorrelloom/tool/deploy"
-	"sorrelloom/tool/worker"
+	"sorrelloom/tool/fakeworker"
 )
 
 type Env struct {
@@ -94,12 +95,12 @@
 	s.w.Verbose, s.w.central = e.Verbose, e.Central
 	s.notes = newNotes()
 	s.end = e.For + settle
-	p, faults := plan.Parse(e.Deployment.Config)
+	p, faults := config.Parse(e.Deployment.Config)
 	if len(faults) > 0 {
 		panic(faults)
 	}
 	for name, class := range p.Services[e.Deployment.Service].Classes {
-		s.restart[name], s.share[name] = class.LostWorkerPolicy == plan.RestartOnLostWorker, class.Share*deploy.Workers*deploy.SlotsPerWorker/100
+		s.restart[name], s.share[name] = class.LostWorkerPolicy == config.RestartOnLostWorker, class.Share*deploy.Workers*deploy.SlotsPerWorker/100
 	}
 	s.build()
 	if e.Prepare != nil {
@@ -107,8 +108,8 @@
 	}
 	s.w.onPlan = s.sawPlan
 	s.w.At(4*time.Second, func() {
-		s.operate(machine.Request{Kind: front.RequestConfigPut, Body: e.Deployment.Config}, func(heardAt time.Duration, r front.Reply) {
-			if out, ok := r.Body.(front.Outcome); ok && r.StatusCode == 200 {
+		s.operate(machine.Request{Kind: gateway.RequestConfigPut, Body: e.Deployment.Config}, func(heardAt time.Duration, r gateway.Reply) {
+			if out, ok := r.Body.(gateway.Outcome); ok && r.StatusCode == 200 {
 				s.planned(heardAt, out.Version)
 			} else {
 				s.fault("plan-ignored", "the first plan is bounced: %+v", r.Body)
@@ -166,9 +167,9 @@
 		labels = []string{"gpu", "archive"}
 	}
 	for j := range deploy.Workers {
-		h := &hand{acked: map[ledger.Attempt]time.Duration{}, env: worker.Env{
+		h := &hand{acked: map[state.Attempt]time.Duration{}, env: fakeworker.Env{
 			ID: fmt.Sprintf("worker-%02d", j+1), Site: s.sites[j%len(s.sites)], Rack: fmt.Sprintf("r%d", j/deploy.WorkersPerRack), Service: s.env.Deployment.Service,
-			Total: ledger.Resources{Slots: deploy.SlotsPerWorker, Cores: s.env.Deployment.CoresPerWorker},
+			Total: state.Resources{Slots: deploy.SlotsPerWorker, Cores: s.env.Deployment.CoresPerWorker},
 		}}
 		if j%4 == 0 {
 			h.env.Labels = []string{labels[0]}
@@ -312,9 +313,9 @@
 			res.Accepted++
 		}
 		switch c.state {
-		case ledger.Done:
+		case state.Done:
 			res.Done++
-		case ledger.Failed:
+		case state.Failed:
 			res.Failed++
 		}
 		if at, ok := first[c.spec.ID]; ok && c.spec.Class == quickClass(c.spec.Service) {
@@ -339,7 +340,7 @@
 		}
 	}
 	for _, k := range s.keepers {
-		if m, ok := k.main.(*keeper.Replica); ok {
+		if m, ok := k.main.(*replica.Replica); ok {
 			res.Views = max(res.Views, m.View().Epoch)
 		}
 	}
@@ -383,7 +384,7 @@
 		if !h.up || h.cut {
 			return
 		}
-		h.set(s.w.Now, worker.Faults{RunOn: true, Slow: 4})
+		h.set(s.w.Now, fakeworker.Faults{RunOn: true, Slow: 4})
 		s.w.After(3*time.Second, func() {
 			s.w.say("cut %s, which runs on", h.name())
 			s.setCut(h, true)
@@ -391,14 +392,14 @@
 			s.w.After(time.Duration(9+s.w.chance.IntN(20))*time.Second, func() {
 				s.w.say("mend %s", h.name())
 				s.setCut(h, false)
-				h.set(s.w.Now, worker.Faults{})
+				h.set(s.w.Now, fakeworker.Faults{})
 			})
 		})
 	},
-	"worker-slow": func(s *Scenario) { s.spoil(worker.Faults{Slow: 4}, 15*time.Second) },
-	"worker-fail": func(s *Scenario) { s.spoil(worker.Faults{FailEach: 3}, 10*time.Second) },
+	"worker-slow": func(s *Scenario) { s.spoil(fakeworker.Faults{Slow: 4}, 15*time.Second) },
+	"worker-fail": func(s *Scenario) { s.spoil(fakeworker.Faults{FailEach: 3}, 10*time.Second) },
 	"worker-hang": func(s *Scenario) {
-		s.spoil(worker.Faults{Hang: true}, 2*time.Second)
+		s.spoil(fakeworker.Faults{Hang: true}, 2*time.Second)
 		s.slow(2 * time.Second)
 	},
 	"worker-cut": func(s *Scenario) {
@@ -416,7 +417,7 @@
 		}
 	},
 	"worker-fail-class": func(s *Scenario) {
-		s.spoil(worker.Faults{FailClass: s.env.Deployment.Traffic[s.w.chance.IntN(3)].Class}, 12*time.Second)
+		s.spoil(fakeworker.Faults{FailClass: s.env.Deployment.Traffic[s.w.chance.IntN(3)].Class}, 12*time.Second)
 	},
 	"kill": func(s *Scenario) {
 		n := s.daemons[s.w.chance.IntN(len(s.daemons))]
@@ -590,7 +591,7 @@
 			case 1:
 				c.spec.Tasks[0].Labels = []string{"moonstone"}
 			default:
-				service, _ := plan.Parse(s.env.Deployment.Config)
+				service, _ := config.Parse(s.env.Deployment.Config)
 				c.spec.Tasks[0].Labels = []string{service.Services[s.env.Deployment.Service].Labels[1]}
 			}
 			s.submit(c)
@@ -680,7 +681,7 @@
 	})
 }
 
-func (s *Scenario) spoil(f worker.Faults, d time.Duration) {
+func (s *Scenario) spoil(f fakeworker.Faults, d time.Duration) {
 	h := s.hand(s.w.chance.IntN(deploy.Workers))
 	if !h.up {
 		return
@@ -689,7 +690,7 @@
 	h.set(s.w.Now, f)
 	s.w.After(d, func() {
 		if h.up {
-			h.set(s.w.Now, worker.Faults{})
+			h.set(s.w.Now, fakeworker.Faults{})
 		}
 	})
 }
--- a/tool/sim/sim.go
+++ b/tool/sim/sim.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"sorrelloom/core/agent"
-	"sorrelloom/core/center"
-	"sorrelloom/core/front"
-	"sorrelloom/core/keeper"
+	"sorrelloom/core/control"
+	"sorrelloom/core/gateway"
+	"sorrelloom/core/leaderclient"
 	"sorrelloom/core/machine"
-	"sorrelloom/core/member"
-	"sorrelloom/core/relay"
+	"sorrelloom/core/membership"
+	"sorrelloom/core/replica"
 	"sorrelloom/core/scheduler"
 	"sorrelloom/core/wire"
 )
@@ -60,7 +60,7 @@
 	life                      uint64
 	boot                      time.Duration
 	main                      machine.Machine
-	member                    *member.Gossiper
+	member                    *membership.Gossiper
 	disk                      machine.MemoryDisk
 	diskSlow                  float64
 	diskLies                  bool
@@ -185,7 +185,7 @@
 	first := w.chance.Uint64() >> 1
 	switch n.role {
 	case "keeper":
-		k, err := keeper.New(keeper.Config{
+		k, err := replica.New(replica.Config{
 			Address: n.address, Zone: n.site, Founders: n.founders,
 			NewID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), BootID: first,
 		}, n.disk.Load())
@@ -196,9 +196,9 @@
 	case "scheduler":
 		n.main = scheduler.New(scheduler.Config{Address: n.address, Zone: n.site, FirstCommandID: first, SingleQueue: w.central})
 	case "front":
-		n.main = front.New(front.Config{Address: n.address, Zone: n.site, FirstCommandID: first})
+		n.main = gateway.New(gateway.Config{Address: n.address, Zone: n.site, FirstCommandID: first})
 	case "center":
-		c, err := center.New(center.Config{
+		c, err := control.New(control.Config{
 			Address: n.address, Zone: n.site, Founders: n.founders,
 			NewID: fmt.Sprintf("%s-%d-%x", n.name, n.life, first), BootID: first, BackupCount: w.copies,
 		}, n.disk.Load())
@@ -208,16 +208,16 @@
 		n.main, id = c, c.ID()
 	case "proxy":
 		id = fmt.Sprintf("%s-%d-%x", n.name, n.life, first)
-		n.main = center.NewProxy(wire.Member{ID: id, Address: n.address, Zone: n.site}, n.seeds)
+		n.main = control.NewProxy(wire.Member{ID: id, Address: n.address, Zone: n.site}, n.seeds)
 	case "door":
-		n.main = relay.New(relay.Config{Address: n.address, Replicas: n.seeds, FirstCommandID: first})
+		n.main = leaderclient.New(leaderclient.Config{Address: n.address, Replicas: n.seeds, FirstCommandID: first})
 	case "side":
 		n.main = agent.New(agent.Config{Address: n.address, Zone: n.site, Replicas: n.seeds, FirstReportID: first})
 	}
 	n.member = nil
 	w.say("boot %s %s", n.name, id)
 	if role := memberRole[n.role]; role != "" {
-		n.member = member.New(member.Config{
+		n.member = membership.New(membership.Config{
 			Self:  wire.Node{ID: id, Role: role, Zone: n.site, Address: n.address, Incarnation: int64((w.Now + w.wallSkew + n.wallSkew + 1000*time.Hour) / time.Millisecond)},
 			Seeds: n.seeds, Seed: first,
 		})
@@ -551,13 +551,13 @@
 }
 
 // Call is an HTTP request from outside to a front.
-func (w *World) Call(client, site, address string, ask machine.Request, timeout time.Duration, back func(front.Reply, bool)) {
+func (w *World) Call(client, site, address string, ask machine.Request, timeout time.Duration, back func(gateway.Reply, bool)) {
 	w.Ask(client, site, address, ask, timeout, func(v any) {
-		reply := v.(front.Reply)
+		reply := v.(gateway.Reply)
 		body := machine.MustJSON(reply.Body)
 		w.trace(client, address, ask.Kind, reply.StatusCode, len(body))
 	}, func(v any, ok bool) {
-		reply, _ := v.(front.Reply)
+		reply, _ := v.(gateway.Reply)
 		back(reply, ok)
 	})
 }
--- a/tool/sim/sim_test.go
+++ b/tool/sim/sim_test.go
@@ -1,6 +1,7 @@
 // Fixed seeds with all faults mixed, seeds for quick jobs beside batch waves,
 // one seed twice, and variants of the system that are broken on purpose: the
 // same day that passes with honest parts must be found broken with them.
+
 package sim
 
 import (
@@ -10,12 +11,12 @@
 	"testing"
 	"time"
 
-	frontd "sorrelloom/core/front"
-	"sorrelloom/core/ledger"
+	frontd "sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
 	"sorrelloom/tool/deploy"
-	"sorrelloom/tool/worker"
+	"sorrelloom/tool/fakeworker"
 )
 
 func env(t *testing.T, deployment string, seed uint64, faults string) Env {
@@ -185,7 +186,7 @@
 				}
 				ack := wire.ReplicateAck{BootID: b.BootID, Epoch: b.View.Epoch, SendID: b.SendID, Position: b.Previous, OK: true, KnownView: b.View}
 				if len(b.Commands) > 0 {
-					last, err := ledger.Decode(b.Commands[len(b.Commands)-1])
+					last, err := state.Decode(b.Commands[len(b.Commands)-1])
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -202,13 +203,13 @@
 			}
 		})
 	}
-	runOn := func(f worker.Faults) func(s *Scenario) {
+	runOn := func(f fakeworker.Faults) func(s *Scenario) {
 		f.RunOn = true
 		return func(s *Scenario) {
 			for i := range 4 {
 				s.w.At(9*time.Second, func() { s.hand(i).set(s.w.Now, f) })
 				s.w.At(12*time.Second, func() { s.setCut(s.hand(i), true) })
-				s.w.At(24*time.Second, func() { s.hand(i).set(s.w.Now, worker.Faults{}); s.setCut(s.hand(i), false) })
+				s.w.At(24*time.Second, func() { s.hand(i).set(s.w.Now, fakeworker.Faults{}); s.setCut(s.hand(i), false) })
 			}
 		}
 	}
@@ -244,9 +245,9 @@
 		{"the same, with disks that say yes and keep nothing", day(lyingDisks, lose), "job-forgotten"},
 		{"a yes from a primary that does not wait for its backup, and then loses its disk", day(oneDisk), "job-forgotten again-after-good"},
 		{"a yes from two disks, and then one is lost", day(armed), ""},
-		{"workers that run on past their cutoff, while cut off", day(runOn(worker.Faults{Slow: 20})), ""},
-		{"workers that pass their run limit too break the contract", day(runOn(worker.Faults{Slow: 300, NoLimit: true})), "twice-at-once"},
-		{"the same workers, where every class holds", day(hold, runOn(worker.Faults{Slow: 300, NoLimit: true})), ""},
+		{"workers that run on past their cutoff, while cut off", day(runOn(fakeworker.Faults{Slow: 20})), ""},
+		{"workers that pass their run limit too break the contract", day(runOn(fakeworker.Faults{Slow: 300, NoLimit: true})), "twice-at-once"},
+		{"the same workers, where every class holds", day(hold, runOn(fakeworker.Faults{Slow: 300, NoLimit: true})), ""},
 		{"a daemon that takes an older plan", day(oldPlans), "plan-went-back"},
 		{"a daemon that hears of no plan, and nobody knows of the cut", day(deafScheduler), "plan-ignored"},
 	}
@@ -369,17 +370,17 @@
 }
 
 // sick plays a day with two workers that are spoiled until a time.
-func sick(t *testing.T, f worker.Faults, spoiled int, until time.Duration) Env {
+func sick(t *testing.T, f fakeworker.Faults, spoiled int, until time.Duration) Env {
 	e := env(t, "reseller", 31, "none")
 	e.For = 40 * time.Second
 	e.Prepare = func(s *Scenario) {
-		set := func(f worker.Faults) {
+		set := func(f fakeworker.Faults) {
 			for i := range spoiled {
 				s.hand(i).set(s.w.Now, f)
 			}
 		}
 		s.w.At(6*time.Second, func() { set(f) })
-		s.w.At(until, func() { set(worker.Faults{}) })
+		s.w.At(until, func() { set(fakeworker.Faults{}) })
 	}
 	return e
 }
@@ -392,19 +393,19 @@
 	const always, early = 60 * time.Second, 14 * time.Second
 	table := []struct {
 		name                string
-		faults              worker.Faults
+		faults              fakeworker.Faults
 		spoiled             int
 		until               time.Duration
 		badMost, failedMost int
 		runsLeast, runsMost int
 		days                int
 	}{
-		{"all of their work fails", worker.Faults{FailEach: 1}, 2, always, 20, 0, 1, 20, 1},
-		{"half of their work fails", worker.Faults{FailEach: 2}, 2, always, 45, 0, 1, 90, 1},
-		{"they are six times slower", worker.Faults{Slow: 6}, 2, always, 0, 0, 4, 80, 1},
-		{"they fail early and are well again", worker.Faults{FailEach: 1}, 2, early, 20, 0, 50, 1000, 1},
-		{"they are slow early and well again", worker.Faults{Slow: 6}, 2, early, 0, 0, 50, 1000, 6},
-		{"all workers fail a third, and must serve all the same", worker.Faults{FailEach: 3}, 11, always, 1000, 40, 100, 1000, 1},
+		{"all of their work fails", fakeworker.Faults{FailEach: 1}, 2, always, 20, 0, 1, 20, 1},
+		{"half of their work fails", fakeworker.Faults{FailEach: 2}, 2, always, 45, 0, 1, 90, 1},
+		{"they are six times slower", fakeworker.Faults{Slow: 6}, 2, always, 0, 0, 4, 80, 1},
+		{"they fail early and are well again", fakeworker.Faults{FailEach: 1}, 2, early, 20, 0, 50, 1000, 1},
+		{"they are slow early and well again", fakeworker.Faults{Slow: 6}, 2, early, 0, 0, 50, 1000, 6},
+		{"all workers fail a third, and must serve all the same", fakeworker.Faults{FailEach: 3}, 11, always, 1000, 40, 100, 1000, 1},
 	}
 	for _, row := range table {
 		days := make([]Env, row.days)
