--- /dev/null
+++ b/core/config/duration.go
@@ -0,0 +1,22 @@
+package config
+
+import (
+	"fmt"
+	"time"
+)
+
+// Duration is a time.Duration that is encoded as text such as "1.5s".
+type Duration struct{ time.Duration }
+
+// MarshalText encodes the duration in Go's notation.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
+
+// UnmarshalText decodes a duration that is not negative.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err == nil && parsed < 0 {
+		err = fmt.Errorf("negative duration %q", text)
+	}
+	d.Duration = parsed
+	return err
+}
