--- /dev/null
+++ b/core/state/configuration.go
@@ -0,0 +1,79 @@
+package state
+
+import (
+	"encoding/json"
+	"reflect"
+
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
+)
+
+// ConfigChange replaces the configuration or, with Patch, changes it. It is rejected
+// unless the version in force is BaseVersion, or it is Forced. Version, where set, is
+// the one that the new configuration is to have, above the current one; else it is the
+// next.
+type ConfigChange struct {
+	BaseVersion uint64          `json:"base"`
+	Version     uint64          `json:"sequence,omitempty"`
+	Forced      bool            `json:"forced,omitempty"`
+	Patch       bool            `json:"patch,omitempty"`
+	Body        json.RawMessage `json:"body"`
+}
+
+// changeConfig puts a configuration in force. Its version never goes back.
+func (s *Store) changeConfig(change ConfigChange) Result {
+	current := s.config.Version
+	if !change.Forced && change.BaseVersion != current {
+		result := reject(status.StaleConfig, "the plan is at sequence %d, not %d", current, change.BaseVersion)
+		result.ConfigVersion = current
+		return result
+	}
+	next, violations := parseChange(s.config, change)
+	if len(violations) > 0 {
+		result := reject(violations[0].Code, "%s: %s", violations[0].Path, violations[0].Reason)
+		result.Violations, result.ConfigVersion = violations, current
+		return result
+	}
+	next.Version = current + 1
+	if change.Version > 0 {
+		if change.Version <= current {
+			return reject(status.InvalidConfig, "/sequence: %d is not above %d", change.Version, current)
+		}
+		next.Version = change.Version
+	}
+	placementChanges := !samePlacement(s.config, next)
+	s.config, s.policies = next, next.Compile()
+	clear(s.serviceLoads)
+	s.audit.record(Decision{Kind: decisionChangeConfig, ConfigVersion: next.Version, Digest: digest(next)})
+	if placementChanges {
+		s.changes = append(s.changes, Change{All: true})
+	}
+	return Result{Code: status.OK, ConfigVersion: next.Version}
+}
+
+func parseChange(base config.Config, change ConfigChange) (config.Config, []config.Violation) {
+	if change.Patch {
+		return config.ApplyPatch(base, change.Body)
+	}
+	return config.Parse(change.Body)
+}
+
+// samePlacement says whether tasks may go where they could before. That does not hang
+// on the routes, nor on what classes come and go.
+func samePlacement(old, next config.Config) bool {
+	return reflect.DeepEqual(old.Policies, next.Policies) && old.Limits == next.Limits && classesUnchanged(old, next)
+}
+
+// classesUnchanged says whether every class of a configuration stands in the next as
+// it was.
+func classesUnchanged(old, next config.Config) bool {
+	for name, service := range old.Services {
+		for class, was := range service.Classes {
+			now, ok := next.Services[name].Classes[class]
+			if !ok || now.Priority != was.Priority || now.Quick != was.Quick {
+				return false
+			}
+		}
+	}
+	return len(old.Services) > 0
+}
--- a/core/state/dryrun.go
+++ b/core/state/dryrun.go
@@ -1,17 +1,13 @@
-// A dry run says what a plan would change for what waits and runs right now,
-// class by class, without changing anything.
-
 package state
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"sorrelloom/core/config"
 )
 
-// DryRow is one class under the plan in force and under the one on trial. Order
-// is the policy's result for the task that has waited longest, Borrow whether
-// one slot more than the share would be lent.
+// DryRunRow is one class under the configuration in force and under the one on trial.
 type DryRunRow struct {
 	Service   string        `json:"service"`
 	Class     string        `json:"class"`
@@ -21,6 +17,9 @@
 	Proposed  DryRunOutcome `json:"then"`
 }
 
+// DryRunOutcome is how a class stands under a configuration. Order is the policy's
+// result for the task that has waited longest, Borrow whether one slot more than the
+// share would be lent.
 type DryRunOutcome struct {
 	Known      bool    `json:"known"`
 	ShareSlots int     `json:"shareSlots"`
@@ -28,62 +27,82 @@
 	Borrow     bool    `json:"borrow"`
 }
 
-// DryRun compares the plan in force with another.
-func (l *Store) DryRun(next config.Config) []DryRunRow {
-	type oldest struct {
-		waiting int
-		names   config.OrderInput
-	}
-	heads := map[[2]string]oldest{}
-	for _, job := range l.ActiveJobs() {
-		for i, t := range job.Tasks {
-			if t.State != Ready || t.Lease.Held() {
-				continue
-			}
-			key := [2]string{job.Spec.Service, job.Spec.Class}
-			h := heads[key]
-			if waited := (l.now - t.ReadyAt).Seconds(); h.waiting == 0 || waited > h.names.WaitedSeconds {
-				h.names = config.OrderInput{Level: t.Level, WaitedSeconds: waited, Class: key[1], Service: key[0], Slots: job.Spec.Tasks[i].Resources.Slots}
-			}
-			h.waiting++
-			heads[key] = h
-		}
-	}
-	keys := map[[2]string]bool{}
-	for _, p := range []config.Config{l.config, next} {
-		for service, s := range p.Services {
-			for class := range s.Classes {
-				keys[[2]string{service, class}] = true
+// waitingTasks are the tasks of a class that wait for a lease, and the policy's input
+// for the one that has waited longest.
+type waitingTasks struct {
+	count   int
+	longest config.OrderInput
+}
+
+// DryRun says what a configuration would change for what waits and runs right now,
+// class by class, without changing anything.
+func (s *Store) DryRun(proposed config.Config) []DryRunRow {
+	waiting := s.waitingByClass()
+	classes := map[classKey]bool{}
+	for _, c := range []config.Config{s.config, proposed} {
+		for serviceName, service := range c.Services {
+			for class := range service.Classes {
+				classes[classKey{serviceName, class}] = true
 			}
 		}
 	}
-	for key := range heads {
-		keys[key] = true
+	for class := range waiting {
+		classes[class] = true
 	}
+	proposedPolicies := proposed.Compile()
 	rows := []DryRunRow{}
-	for key := range keys {
-		h := heads[key]
-		row := DryRunRow{Service: key[0], Class: key[1], Waiting: h.waiting, UsedSlots: l.ServiceLoad(key[0]).Used[key[1]]}
-		row.Current = l.dryRunOutcome(l.config, l.policies, key, h.names)
-		row.Proposed = l.dryRunOutcome(next, next.Compile(), key, h.names)
-		rows = append(rows, row)
+	for class := range classes {
+		tasks := waiting[class]
+		rows = append(rows, DryRunRow{
+			Service: class.service, Class: class.class, Waiting: tasks.count,
+			UsedSlots: s.ServiceLoad(class.service).Used[class.class],
+			Current:   s.dryRunOutcome(s.config, s.policies, class, tasks.longest),
+			Proposed:  s.dryRunOutcome(proposed, proposedPolicies, class, tasks.longest),
+		})
 	}
-	sort.Slice(rows, func(i, j int) bool {
-		return rows[i].Service < rows[j].Service || rows[i].Service == rows[j].Service && rows[i].Class < rows[j].Class
+	slices.SortFunc(rows, func(a, b DryRunRow) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Class, b.Class))
 	})
 	return rows
 }
 
-func (l *Store) dryRunOutcome(p config.Config, rules config.CompiledPolicies, key [2]string, names config.OrderInput) DryRunOutcome {
-	class, known := p.Services[key[0]].Classes[key[1]]
-	b := l.ServiceLoad(key[0])
-	share, used := (b.Slots*class.Share+99)/100, b.Used[key[1]]
-	names.Priority, names.Share, names.Used = class.Priority, share, used
+// waitingByClass gives the ready tasks without a lease of each class.
+func (s *Store) waitingByClass() map[classKey]waitingTasks {
+	byClass := map[classKey]waitingTasks{}
+	for _, job := range s.ActiveJobs() {
+		class := classKey{job.Spec.Service, job.Spec.Class}
+		for i, task := range job.Tasks {
+			if task.State != Ready || task.Lease.Held() {
+				continue
+			}
+			tasks := byClass[class]
+			waited := (s.now - task.ReadyAt).Seconds()
+			if tasks.count == 0 || waited > tasks.longest.WaitedSeconds {
+				tasks.longest = config.OrderInput{
+					Level: task.Level, WaitedSeconds: waited, Class: class.class, Service: class.service,
+					Slots: job.Spec.Tasks[i].Resources.Slots,
+				}
+			}
+			tasks.count++
+			byClass[class] = tasks
+		}
+	}
+	return byClass
+}
+
+// dryRunOutcome is how a class stands under a configuration with its policies.
+func (s *Store) dryRunOutcome(
+	c config.Config, policies config.CompiledPolicies, key classKey, longest config.OrderInput,
+) DryRunOutcome {
+	class, known := c.Services[key.service].Classes[key.class]
+	load := s.ServiceLoad(key.service)
+	share, used := slotsOfShare(class.Share, load.Slots), load.Used[key.class]
+	longest.Priority, longest.Share, longest.Used = class.Priority, share, used
 	return DryRunOutcome{
-		Known: known, ShareSlots: share, Order: rules.Order(names),
-		Borrow: known && rules.Borrow(config.BorrowInput{
-			Total: b.Slots, Idle: b.Idle, Requested: 1, Used: max(used, share), Share: share,
-			Waiting: l.UnmetDemand(key[0], key[1]), Class: key[1], Service: key[0],
+		Known: known, ShareSlots: share, Order: policies.Order(longest),
+		Borrow: known && policies.Borrow(config.BorrowInput{
+			Total: load.Slots, Idle: load.Idle, Requested: 1, Used: max(used, share), Share: share,
+			Waiting: s.UnmetDemand(key.service, key.class), Class: key.class, Service: key.service,
 		}),
 	}
 }
--- a/core/state/encoding.go
+++ b/core/state/encoding.go
@@ -1,5 +1,3 @@
-// The encoding of commands, which is made once and shared.
-
 package state
 
 import (
@@ -8,9 +6,9 @@
 	"sorrelloom/core/machine"
 )
 
-// Logged is a command beside its encoding. A command is encoded once, by the
-// primary that stamps it; the log on each disk, the replicas and the followers
-// share these bytes, which must not be changed.
+// EncodedCommand is a command beside its encoding. A command is encoded once, by the
+// primary that stamps it; the log on each disk, the replicas and the subscribers of the
+// change feed share these bytes, which must not be changed.
 type EncodedCommand struct {
 	Command
 	Encoded json.RawMessage
@@ -21,7 +19,7 @@
 
 // Decode reads what Encode wrote. The encoding shares the data.
 func Decode(encoded json.RawMessage) (EncodedCommand, error) {
-	logged := EncodedCommand{Encoded: encoded}
-	err := machine.Unmarshal(encoded, &logged.Command)
-	return logged, err
+	cmd := EncodedCommand{Encoded: encoded}
+	err := machine.Unmarshal(encoded, &cmd.Command)
+	return cmd, err
 }
--- a/core/state/explain.go
+++ b/core/state/explain.go
@@ -1,6 +1,3 @@
-// Why a job waits, in a sentence: the reasons that a grant would be bounced
-// with now, told for people.
-
 package state
 
 import (
@@ -11,9 +8,10 @@
 	"sorrelloom/core/status"
 )
 
-// Explain says why a job has not ended yet.
-func (l *Store) Explain(id string) string {
-	job, ok := l.jobs[id]
+// Explain says in a sentence, told for people, why a job has not ended yet: the
+// reasons that a grant would be rejected with now.
+func (s *Store) Explain(id string) string {
+	job, ok := s.jobs[id]
 	if !ok {
 		return "job " + id + " is not known"
 	}
@@ -24,92 +22,132 @@
 		return fmt.Sprintf("job %s is %s", id, job.State)
 	}
 	var parts []string
-	for i, t := range job.Tasks {
-		name := job.Spec.Tasks[i].ID
-		switch {
-		case t.Lease.Held() && t.Lease.StopReason != "":
-			parts = append(parts, fmt.Sprintf("task %s is being stopped on %s: %s", name, t.Lease.Worker, t.Lease.StopReason))
-		case t.Lease.Held() && !l.Live(l.workers[t.Lease.Worker]):
-			parts = append(parts, fmt.Sprintf("task %s is %s", name, l.explainSilence(job, i)))
-		case t.Lease.StartedAt > 0:
-			parts = append(parts, fmt.Sprintf("task %s runs on %s", name, t.Lease.Worker))
-		case t.Lease.Held():
-			parts = append(parts, fmt.Sprintf("task %s is granted to %s, which has not confirmed it yet", name, t.Lease.Worker))
-		case t.State == Waiting:
-			parts = append(parts, fmt.Sprintf("task %s waits for %s", name, strings.Join(l.missingDependencies(job, i), ", ")))
-		case t.State == Ready:
-			parts = append(parts, fmt.Sprintf("task %s waits: %s", name, l.explainObstacle(job, i)))
+	for i := range job.Tasks {
+		if part := s.explainTask(job, i); part != "" {
+			parts = append(parts, part)
 		}
 	}
 	return "job " + id + ": " + strings.Join(parts, "; ")
 }
 
-// silence says what a task on a silent worker waits for.
-func (l *Store) explainSilence(job Job, i int) string {
-	turn := job.Tasks[i].Lease
-	since := (l.now - l.workers[turn.Worker].LastSeenAt).Round(100 * time.Millisecond)
-	if l.HeldForLostWorker(job, i) {
-		return fmt.Sprintf("held: %s has been silent for %s and may have ended it well; it goes on when the worker is heard, or an operator says that it is gone", turn.Worker, since)
+// explainTask says what a task waits for, nothing if it is over.
+func (s *Store) explainTask(job Job, i int) string {
+	name, task := job.Spec.Tasks[i].ID, &job.Tasks[i]
+	lease := &task.Lease
+	switch {
+	case lease.Held() && lease.StopReason != "":
+		return fmt.Sprintf("task %s is being stopped on %s: %s", name, lease.Worker, lease.StopReason)
+	case lease.Held() && !s.Live(s.workers[lease.Worker]):
+		return fmt.Sprintf("task %s is %s", name, s.explainSilence(job, i))
+	case lease.StartedAt > 0:
+		return fmt.Sprintf("task %s runs on %s", name, lease.Worker)
+	case lease.Held():
+		return fmt.Sprintf("task %s is granted to %s, which has not confirmed it yet", name, lease.Worker)
+	case task.State == Waiting:
+		return fmt.Sprintf("task %s waits for %s", name, strings.Join(s.missingDependencies(job, i), ", "))
+	case task.State == Ready:
+		return fmt.Sprintf("task %s waits: %s", name, s.explainObstacle(job, i))
+	}
+	return ""
+}
+
+// explainSilence says what a task on a silent worker waits for.
+func (s *Store) explainSilence(job Job, i int) string {
+	lease := job.Tasks[i].Lease
+	silence := (s.now - s.workers[lease.Worker].LastSeenAt).Round(100 * time.Millisecond)
+	if s.HeldForLostWorker(job, i) {
+		return fmt.Sprintf("held: %s has been silent for %s and may have ended it well; "+
+			"it goes on when the worker is heard, or an operator says that it is gone", lease.Worker, silence)
 	}
-	return fmt.Sprintf("on %s, which has been silent for %s; without a word it is free in %s", turn.Worker, since, max(0, l.latestEnd(turn)-l.now).Round(100*time.Millisecond))
+	return fmt.Sprintf("on %s, which has been silent for %s; without a word it is free in %s",
+		lease.Worker, silence, max(0, s.latestEnd(lease)-s.now).Round(100*time.Millisecond))
 }
 
-func (l *Store) missingDependencies(job Job, i int) []string {
-	var out []string
-	for _, j := range job.Spec.Tasks[i].Dependencies {
-		if job.Tasks[j].State != Done {
-			out = append(out, job.Spec.Tasks[j].ID)
+// missingDependencies names what a task waits for: other tasks, or its due time.
+func (s *Store) missingDependencies(job Job, i int) []string {
+	var missing []string
+	for _, dependency := range job.Spec.Tasks[i].Dependencies {
+		if job.Tasks[dependency].State != Done {
+			missing = append(missing, job.Spec.Tasks[dependency].ID)
 		}
 	}
-	if job.Tasks[i].DueAt > l.now {
-		out = append(out, fmt.Sprintf("its time in %s", (job.Tasks[i].DueAt-l.now).Round(time.Second)))
+	if dueAt := job.Tasks[i].DueAt; dueAt > s.now {
+		missing = append(missing, fmt.Sprintf("its time in %s", (dueAt-s.now).Round(time.Second)))
 	}
-	return out
+	return missing
 }
 
-// obstacle counts, over the workers of the service, what keeps a task away.
-func (l *Store) explainObstacle(job Job, i int) string {
-	spec := job.Spec.Tasks[i]
-	counts := map[status.Code]int{}
-	of, room := 0, 0
-	for _, w := range l.workers {
-		if w.Service != job.Spec.Service {
+// workerCounts counts the workers of a service by what keeps a task away from them.
+type workerCounts struct {
+	total int
+	// byCode counts them by the code of Fits, withResources those that would also have
+	// the resources free.
+	byCode        map[status.Code]int
+	withResources int
+}
+
+func (s *Store) countWorkers(job Job, i int) workerCounts {
+	counts := workerCounts{byCode: map[status.Code]int{}}
+	for _, worker := range s.workers {
+		if worker.Service != job.Spec.Service {
 			continue
 		}
-		of++
-		c := l.Fits(job, i, w)
-		if c == status.OK {
-			if l.FreeResources(w.ID()).Covers(spec.Resources) {
-				room++
-			}
+		counts.total++
+		code := s.Fits(job, i, worker)
+		counts.byCode[code]++
+		if code == status.OK && s.FreeResources(worker.ID()).Covers(job.Spec.Tasks[i].Resources) {
+			counts.withResources++
 		}
-		counts[c]++
 	}
-	switch {
-	case of == 0:
-		return "no worker of service " + job.Spec.Service + " has beaten yet"
-	case counts[status.OK] == 0:
-		var why []string
-		for _, c := range []status.Code{status.WorkerMismatch, status.WorkerUnresponsive, status.Draining, status.ZoneDrained} {
-			if counts[c] > 0 {
-				why = append(why, fmt.Sprintf("%d %s", counts[c], map[status.Code]string{
-					status.WorkerMismatch: "lack a label", status.WorkerUnresponsive: "are silent", status.Draining: "are draining", status.ZoneDrained: "stand in an emptied site",
-				}[c]))
-			}
+	return counts
+}
+
+// unfitReasons are the codes of Fits, told for people.
+var unfitReasons = []struct {
+	code   status.Code
+	reason string
+}{
+	{status.WorkerMismatch, "lack a label"},
+	{status.WorkerUnresponsive, "are silent"},
+	{status.Draining, "are draining"},
+	{status.ZoneDrained, "are in a drained zone"},
+}
+
+// explainUnfit says why no worker may take a task.
+func (c workerCounts) explainUnfit() string {
+	var reasons []string
+	for _, unfit := range unfitReasons {
+		if n := c.byCode[unfit.code]; n > 0 {
+			reasons = append(reasons, fmt.Sprintf("%d %s", n, unfit.reason))
 		}
-		return fmt.Sprintf("of %d workers none may take it: %s", of, strings.Join(why, ", "))
-	}
-	if allowed, _ := l.CheckShare(job.Spec.Service, job.Spec.Class, spec.Resources.Slots, nil); !allowed {
-		usedSlots, shareSlots := l.ClassUse(job.Spec.Service, job.Spec.Class)
-		return fmt.Sprintf("class %s uses %d slots of its share of %d, and may not borrow now", job.Spec.Class, usedSlots, shareSlots)
 	}
+	return fmt.Sprintf("of %d workers none may take it: %s", c.total, strings.Join(reasons, ", "))
+}
+
+// explainObstacle says, over the workers of the service, what keeps a ready task away.
+func (s *Store) explainObstacle(job Job, i int) string {
+	service, class, spec := job.Spec.Service, job.Spec.Class, &job.Spec.Tasks[i]
+	counts := s.countWorkers(job, i)
 	switch {
-	case room == 0:
-		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now", counts[status.OK], spec.Resources.Slots, spec.Resources.Cores)
-	case spec.Gang != "" && l.demandOf(job, i).gangSlots > l.ServiceLoad(job.Spec.Service).Slots:
-		return fmt.Sprintf("the gang %s needs %d slots at once, the workers there have %d", spec.Gang, l.demandOf(job, i).gangSlots, l.ServiceLoad(job.Spec.Service).Slots)
-	case spec.Gang != "":
-		return "the gang " + spec.Gang + " needs room for all its members at once"
+	case counts.total == 0:
+		return "no worker of service " + service + " has sent a heartbeat yet"
+	case counts.byCode[status.OK] == 0:
+		return counts.explainUnfit()
+	}
+	if allowed, _ := s.CheckShare(service, class, spec.Resources.Slots, nil); !allowed {
+		usedSlots, shareSlots := s.ClassUse(service, class)
+		return fmt.Sprintf("class %s uses %d slots of its share of %d, and may not borrow now",
+			class, usedSlots, shareSlots)
+	}
+	if counts.withResources == 0 {
+		return fmt.Sprintf("%d workers may take it, none has room for %d slots and %d cores now",
+			counts.byCode[status.OK], spec.Resources.Slots, spec.Resources.Cores)
+	}
+	if spec.Gang == "" {
+		return fmt.Sprintf("%d workers have room; it is leased next", counts.withResources)
+	}
+	if needed, slots := demandOf(job, i).gangSlots, s.ServiceLoad(service).Slots; needed > slots {
+		return fmt.Sprintf("the gang %s needs %d slots at once, the workers there have %d", spec.Gang, needed, slots)
 	}
-	return fmt.Sprintf("%d workers have room; its turn comes next", room)
+	return "the gang " + spec.Gang + " needs room for all its members at once"
 }
--- /dev/null
+++ b/core/state/heartbeat.go
@@ -0,0 +1,313 @@
+package state
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
+)
+
+// Heartbeat is a worker's report on itself.
+type Heartbeat struct {
+	Worker string `json:"worker"`
+	// Incarnation grows with each start of the worker, Number with each report in it.
+	Incarnation int64    `json:"incarnation"`
+	Number      uint64   `json:"number"`
+	Zone        string   `json:"site"`
+	Rack        string   `json:"rack,omitempty"`
+	Service     string   `json:"service"`
+	Labels      []string `json:"labels,omitempty"`
+	// Running are the attempts that the worker runs, Ended those that it was not told
+	// yet that their ends are known.
+	Running []Attempt       `json:"running,omitempty"`
+	Ended   []AttemptResult `json:"ended,omitempty"`
+	Free    Resources       `json:"free"`
+	Total   Resources       `json:"total,omitzero"`
+	Leaving bool            `json:"leaving,omitempty"`
+	// LeavesIn is how long a leaving worker still runs what it has; 0 is unknown.
+	LeavesIn time.Duration `json:"leavesIn,omitempty"`
+	// Address, where given, belongs to one worker at a time: a newcomer at it
+	// proves that the one before it is gone, with all that it ran.
+	Address  string     `json:"address,omitempty"`
+	Progress []Progress `json:"progress,omitempty"`
+	// Delta marks a report that the primary has reduced to its changes: Running lists
+	// only what is no started lease of the worker, NotRunning the leases that the worker
+	// does not run, and its standing properties are left out.
+	Delta      bool      `json:"reduced,omitempty"`
+	NotRunning []Attempt `json:"unlisted,omitempty"`
+}
+
+// StartOrder is an order to run one attempt.
+type StartOrder struct {
+	Attempt
+	Service   string          `json:"service"`
+	Class     string          `json:"class"`
+	Resources Resources       `json:"room"`
+	Gang      string          `json:"gang,omitempty"`
+	RunLimit  config.Duration `json:"runLimit,omitzero"`
+	// DependencyWorkers are the workers on which the task's dependencies succeeded.
+	DependencyWorkers []string        `json:"holders,omitempty"`
+	Payload           json.RawMessage `json:"payload,omitempty"`
+	Checkpoint        string          `json:"saved,omitempty"`
+}
+
+// HeartbeatReply tells a worker what to start and to stop, and which ends are known.
+// Epoch is that of the primary that it comes from.
+type HeartbeatReply struct {
+	Epoch  uint64       `json:"epoch,omitempty"`
+	Starts []StartOrder `json:"starts,omitempty"`
+	Stops  []Attempt    `json:"stops,omitempty"`
+	Acks   []Attempt    `json:"acks,omitempty"`
+	// LeaseDuration is how long after its report the worker may run what it has.
+	LeaseDuration time.Duration `json:"lease,omitempty"`
+	Incarnation   int64         `json:"incarnation,omitempty"`
+	// HeartbeatNumber, in the reply to a stale heartbeat, is that of the last one taken.
+	HeartbeatNumber uint64 `json:"number,omitempty"`
+}
+
+// heartbeatUpdate is what the steps of one heartbeat lead to.
+type heartbeatUpdate struct {
+	worker Worker
+	result Result
+}
+
+// jobSet are the jobs whose tasks may have become ready.
+type jobSet map[string]bool
+
+// heartbeat takes a worker's report. The worker is believed about itself only: what
+// it runs and what has ended counts as far as it is leased to it.
+func (s *Store) heartbeat(hb Heartbeat) Result {
+	old, known := s.workers[hb.Worker]
+	if hb.Worker == "" || hb.Incarnation <= 0 || hb.Number == 0 || hb.Free.Slots < 0 {
+		return reject(status.Malformed, "a beat needs worker, incarnation, number and free room")
+	}
+	if known && hb.isOlderThan(&old.Heartbeat) {
+		return rejectStaleHeartbeat(&hb, &old.Heartbeat)
+	}
+	restarted := known && hb.Incarnation != old.Incarnation
+	if restarted {
+		s.orphanLeases(hb.Worker)
+	}
+	if hb.Delta && (!known || restarted) {
+		return reject(status.Malformed, "a reduced beat needs a worker that is known in its incarnation")
+	}
+	if hb.Delta {
+		hb = old.withIdentity(hb)
+	}
+	if !known && hb.Address != "" {
+		s.replaceWorkersAt(&hb)
+	}
+	update := heartbeatUpdate{worker: s.workerFrom(&hb, &old), result: Result{Code: status.OK}}
+	update.result.Heartbeat.LeaseDuration = s.config.Limits.LeaseDuration.Duration
+	// The sets are made here, so that small ones stay on the stack.
+	touched, listed := jobSet{}, map[Attempt]bool{}
+	s.takeResults(&hb, &update, touched)
+	s.takeProgress(&hb)
+	s.takeRunning(&hb, &update, touched, listed)
+	if hb.Total != (Resources{}) {
+		update.worker.Capacity = hb.Total
+	}
+	s.takeNotListed(&hb, &update, touched, listed)
+	s.setWorker(update.worker)
+	s.changes = append(s.changes, Change{Worker: hb.Worker})
+	for _, id := range slices.Sorted(maps.Keys(touched)) {
+		s.makeTasksReady(id)
+	}
+	return update.result
+}
+
+// isOlderThan says whether a report was sent before another one of the same worker.
+func (hb *Heartbeat) isOlderThan(other *Heartbeat) bool {
+	return hb.Incarnation < other.Incarnation || hb.Incarnation == other.Incarnation && hb.Number < other.Number
+}
+
+// rejectStaleHeartbeat rejects a report that came after a later one, and says which.
+func rejectStaleHeartbeat(hb, latest *Heartbeat) Result {
+	result := reject(status.StaleHeartbeat, "beat %d/%d came after %d/%d",
+		hb.Incarnation, hb.Number, latest.Incarnation, latest.Number)
+	result.Heartbeat.Incarnation, result.Heartbeat.HeartbeatNumber = latest.Incarnation, latest.Number
+	return result
+}
+
+// orphanLeases notes, for the leases of a worker's earlier incarnation, until when
+// what they are for may still run: the new one knows nothing of it.
+func (s *Store) orphanLeases(worker string) {
+	for _, ref := range s.leasedTasks(worker) {
+		task := *s.taskAt(ref)
+		if task.Lease.OrphanUntil == 0 {
+			task.Lease.OrphanUntil = s.latestEnd(task.Lease)
+			s.setTask(ref, task)
+		}
+	}
+}
+
+// replaceWorkersAt takes a newcomer's address as the proof that the worker there
+// before is gone, with all that it ran.
+func (s *Store) replaceWorkersAt(hb *Heartbeat) {
+	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
+		if id == hb.Worker || s.workers[id].Address != hb.Address {
+			continue
+		}
+		for _, ref := range s.leasedTasks(id) {
+			s.returnLease(ref, s.taskAt(ref).Lease.StartedAt > 0, returnReasonWorkerReplaced)
+			s.makeTasksReady(ref.job)
+		}
+		s.forgetWorker(id)
+		s.audit.record(Decision{Kind: decisionWorkerDead, Worker: id})
+		s.changes = append(s.changes, Change{Worker: id})
+	}
+}
+
+// workerFrom is the record of a worker after a report, before what the report says of
+// attempts is taken. Its lease is renewed and never shortened.
+func (s *Store) workerFrom(hb *Heartbeat, old *Worker) Worker {
+	worker := Worker{
+		Heartbeat: *hb, Capacity: hb.Free, Drained: old.Drained, LastSeenAt: s.now,
+		LeaseExpiresAt: max(old.LeaseExpiresAt, s.now+s.config.Limits.LeaseDuration.Duration),
+	}
+	// What runs and what has ended is in the tasks; a delta is not kept.
+	worker.Running, worker.Ended, worker.Progress, worker.NotRunning, worker.Delta = nil, nil, nil, nil, false
+	return worker
+}
+
+// takeResults takes the ends that a report brings, and acknowledges all of them.
+func (s *Store) takeResults(hb *Heartbeat, update *heartbeatUpdate, touched jobSet) {
+	reply := &update.result.Heartbeat
+	for i := range hb.Ended {
+		end := &hb.Ended[i]
+		reply.Acks = append(reply.Acks, end.Attempt)
+		if ref, task, ok := s.findTask(end.Attempt); ok && end.Number > 0 && end.Number <= task.Attempts {
+			s.endAttempt(ref, task, end, hb.Worker)
+			touched[ref.job] = true
+		}
+	}
+}
+
+// takeProgress keeps the checkpoints of attempts that are leased to the worker.
+func (s *Store) takeProgress(hb *Heartbeat) {
+	for _, progress := range hb.Progress {
+		ref, task, ok := s.findTask(progress.Attempt)
+		if ok && task.Lease.covers(progress.Attempt, hb) && s.specAt(ref).Checkpointed {
+			task.Checkpoint, task.Percent = progress.Checkpoint, progress.Percent
+			s.setTask(ref, task)
+		}
+	}
+}
+
+// takeRunning takes the attempts that a report lists as running, and adds them to a
+// set. Leased ones are confirmed as started; one that is not is adopted if it may be,
+// and is else stopped and counted beside the leases until it has.
+func (s *Store) takeRunning(hb *Heartbeat, update *heartbeatUpdate, touched jobSet, listed map[Attempt]bool) {
+	worker, reply := &update.worker, &update.result.Heartbeat
+	for _, attempt := range hb.Running {
+		listed[attempt] = true
+		ref, task, ok := s.findTask(attempt)
+		if !ok {
+			reply.Stops = append(reply.Stops, attempt)
+			continue
+		}
+		leased := task.Lease.covers(attempt, hb)
+		if !leased && s.adoptable(ref, &task, attempt, hb) {
+			s.adopt(ref, &task, attempt, hb)
+			leased = true
+		}
+		if leased && task.Lease.StartedAt == 0 {
+			task.Lease.StartedAt = s.now
+			s.setTask(ref, task)
+			touched[ref.job] = true
+		}
+		resources := s.specAt(ref).Resources
+		worker.Capacity = worker.Capacity.Add(resources)
+		if !leased {
+			worker.Unleased = worker.Unleased.Add(resources)
+		}
+		if !leased || task.Lease.StopReason != "" {
+			reply.Stops = append(reply.Stops, attempt)
+		}
+	}
+}
+
+// adoptable says whether an attempt that runs on after its lease was returned may
+// simply have it again: safer than a stop, which may come too late.
+func (s *Store) adoptable(ref taskRef, task *Task, attempt Attempt, hb *Heartbeat) bool {
+	job := s.jobs[ref.job]
+	return task.State == Ready && !task.Lease.Held() && attempt.Number > 0 && attempt.Number <= task.Attempts &&
+		job.Spec.Service == hb.Service && job.Spec.Tasks[ref.index].Gang == ""
+}
+
+// adopt leases a task to the worker that runs an attempt of it already.
+func (s *Store) adopt(ref taskRef, task *Task, attempt Attempt, hb *Heartbeat) {
+	s.audit.record(Decision{
+		Kind: decisionAdopt, Job: attempt.Job, Task: attempt.Task,
+		AttemptNumber: attempt.Number, Worker: hb.Worker,
+	})
+	task.Lease = Lease{
+		AttemptNumber: attempt.Number, Worker: hb.Worker, Incarnation: hb.Incarnation,
+		HeartbeatNumber: hb.Number, GrantedAt: s.now, StartedAt: s.now, RunLimit: s.runLimit(ref),
+	}
+	s.setTask(ref, *task)
+}
+
+// takeNotListed goes through the worker's leases that its report does not list: those
+// that it does not run are returned, the others are to be started.
+func (s *Store) takeNotListed(hb *Heartbeat, update *heartbeatUpdate, touched jobSet, listed map[Attempt]bool) {
+	reply := &update.result.Heartbeat
+	for _, ref := range s.leasesNotListed(hb, listed) {
+		lease := &s.taskAt(ref).Lease
+		if hb.showsNotRunning(lease) {
+			s.returnLease(ref, lease.StartedAt > 0 && lease.StopReason == "", returnReasonNotRunning)
+			touched[ref.job] = true
+		} else if lease.StopReason == "" {
+			reply.Starts = append(reply.Starts, s.startOrder(ref))
+		}
+	}
+}
+
+// leasesNotListed gives the tasks leased to the worker that its report does not list.
+func (s *Store) leasesNotListed(hb *Heartbeat, listed map[Attempt]bool) []taskRef {
+	var refs []taskRef
+	if hb.Delta {
+		for _, attempt := range hb.NotRunning {
+			if ref, task, ok := s.findTask(attempt); ok && task.Lease.covers(attempt, hb) {
+				refs = append(refs, ref)
+			}
+		}
+		return refs
+	}
+	for _, ref := range s.leasedTasks(hb.Worker) {
+		if s.taskAt(ref).Lease.heldBy(hb) && !listed[s.attemptOf(ref)] {
+			refs = append(refs, ref)
+		}
+	}
+	return refs
+}
+
+// showsNotRunning says whether a report that does not list a lease of its worker shows
+// that the worker does not run it: it had started it, or had two reports to list it.
+func (hb *Heartbeat) showsNotRunning(lease *Lease) bool {
+	return lease.StartedAt > 0 || hb.Number >= lease.HeartbeatNumber+2
+}
+
+// startOrder is the order to start what a task is leased for.
+func (s *Store) startOrder(ref taskRef) StartOrder {
+	job := s.jobs[ref.job]
+	spec, task := &job.Spec.Tasks[ref.index], &job.Tasks[ref.index]
+	payload := spec.Payload
+	if payload == nil {
+		payload = job.Spec.Payload
+	}
+	order := StartOrder{
+		Attempt: s.attemptOf(ref), Service: job.Spec.Service, Class: job.Spec.Class,
+		Resources: spec.Resources, Gang: spec.Gang, RunLimit: config.Duration{Duration: task.Lease.RunLimit},
+		Payload: payload, Checkpoint: task.Checkpoint,
+	}
+	if len(job.Spec.Steps) == 0 {
+		for _, i := range spec.Dependencies {
+			order.DependencyWorkers = append(order.DependencyWorkers, job.Tasks[i].CompletedOn)
+		}
+	}
+	return order
+}
--- /dev/null
+++ b/core/state/heartbeatdelta.go
@@ -0,0 +1,77 @@
+package state
+
+import "slices"
+
+// A worker's report that changes nothing in the state is no command of its own: the
+// primary renews the leases of all workers heard since its last renewal with one
+// command (see renewWorkers). A report that does change something is reduced to its
+// changes before it becomes a command, so that the command does not grow with all that
+// the worker runs.
+
+// ReduceHeartbeat compares a report with the state. Without changes nothing but the
+// worker's lease would differ after the report. Else the reduced report says all that
+// a command needs; it is valid at the present position only.
+func (s *Store) ReduceHeartbeat(hb Heartbeat) (reduced Heartbeat, changes bool) {
+	worker, known := s.workers[hb.Worker]
+	if !known || worker.ConfirmedDead || !sameIdentity(&worker.Heartbeat, &hb) || hb.Number < worker.Number ||
+		hb.Total == (Resources{}) || hb.Free.Slots < 0 {
+		return hb, true
+	}
+	reduced = hb
+	reduced.Delta = true
+	reduced.Zone, reduced.Rack, reduced.Service, reduced.Address, reduced.Labels = "", "", "", "", nil
+	reduced.Running, reduced.NotRunning = s.compareLeases(&hb)
+	changes = len(reduced.Running)+len(reduced.NotRunning)+len(hb.Ended)+len(hb.Progress) > 0 ||
+		worker.Unleased != (Resources{}) || s.freeResourcesMatter(worker, hb.Free) || worker.Total != hb.Total ||
+		worker.Leaving != hb.Leaving || (worker.LeavesIn == 0) != (hb.LeavesIn == 0)
+	return reduced, changes
+}
+
+// freeResourcesMatter says whether a worker's word on its free resources makes a
+// difference. Less than before always does. More does not where its capacity less its
+// leases is all that it has: the report that ends one of these says so again.
+func (s *Store) freeResourcesMatter(worker Worker, free Resources) bool {
+	if !free.Covers(worker.Free) {
+		return true
+	}
+	return s.freeResourcesWith(worker, free) != s.freeResourcesWith(worker, worker.Free)
+}
+
+// sameIdentity says whether two reports name the same worker with the same standing properties.
+func sameIdentity(a, b *Heartbeat) bool {
+	return a.Incarnation == b.Incarnation && a.Zone == b.Zone && a.Rack == b.Rack && a.Service == b.Service &&
+		a.Address == b.Address && slices.Equal(a.Labels, b.Labels)
+}
+
+// withIdentity is a reduced report with what the state knows of its worker.
+func (w Worker) withIdentity(hb Heartbeat) Heartbeat {
+	hb.Zone, hb.Rack, hb.Service, hb.Address, hb.Labels = w.Zone, w.Rack, w.Service, w.Address, w.Labels
+	return hb
+}
+
+// compareLeases gives the attempts of a report that are not a started lease of the
+// worker, and the leases of the worker that the report shows it does not run.
+func (s *Store) compareLeases(hb *Heartbeat) (added, notRunning []Attempt) {
+	listed := make(map[Attempt]bool, len(hb.Running))
+	for _, attempt := range hb.Running {
+		listed[attempt] = true
+	}
+	started := map[Attempt]bool{}
+	for ref := range s.leases[hb.Worker] {
+		lease, attempt := &s.taskAt(ref).Lease, s.attemptOf(ref)
+		switch {
+		case !lease.heldBy(hb):
+		case listed[attempt] && lease.StartedAt > 0:
+			started[attempt] = true
+		case !listed[attempt] && hb.showsNotRunning(lease):
+			notRunning = append(notRunning, attempt)
+		}
+	}
+	for _, attempt := range hb.Running {
+		if !started[attempt] {
+			added = append(added, attempt)
+		}
+	}
+	slices.SortFunc(notRunning, Attempt.compare)
+	return added, notRunning
+}
--- /dev/null
+++ b/core/state/indexes.go
@@ -0,0 +1,130 @@
+package state
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// classKey names a class of a service.
+type classKey struct{ service, class string }
+
+// indexes are derived from the records of jobs and tasks. They are no records
+// themselves: setTask keeps them right, and rebuildIndexes makes them anew after
+// a load.
+type indexes struct {
+	// leases gives the leased tasks of each worker, usage what they sum up to.
+	leases map[string]map[taskRef]bool
+	usage  map[string]workerUsage
+	// unfinished counts the tasks of a class that are not terminal.
+	unfinished map[classKey]int
+	// waiting counts the ready tasks without a lease by what they demand.
+	waiting    map[demand]int
+	activeJobs map[string]bool
+	// endedJobs are in the order of their ends.
+	endedJobs []string
+	// timedTasks wait for their due time.
+	timedTasks map[taskRef]bool
+}
+
+// rebuildIndexes makes anew what is derived from the records.
+func (s *Store) rebuildIndexes() {
+	s.indexes = indexes{
+		leases:     map[string]map[taskRef]bool{},
+		usage:      map[string]workerUsage{},
+		unfinished: map[classKey]int{},
+		waiting:    map[demand]int{},
+		activeJobs: map[string]bool{},
+		timedTasks: map[taskRef]bool{},
+	}
+	s.serviceLoads = map[string]*cachedServiceLoad{}
+	s.requests.sortByAge(func(r Request) time.Duration { return r.AnsweredAt })
+	s.configRequests.sortByAge(func(r Request) time.Duration { return r.AnsweredAt })
+	s.pastJobs.sortByAge(func(p PastJob) time.Duration { return p.EndedAt })
+	for id, job := range s.jobs {
+		if !jobEnded(job) {
+			s.activeJobs[id] = true
+		} else {
+			s.endedJobs = append(s.endedJobs, id)
+		}
+		for i := range job.Tasks {
+			s.countTask(job, i, 1)
+		}
+	}
+	slices.SortFunc(s.endedJobs, func(a, b string) int {
+		return cmp.Or(cmp.Compare(s.jobs[a].EndedAt, s.jobs[b].EndedAt), cmp.Compare(a, b))
+	})
+	s.changes = append(s.changes, Change{All: true})
+}
+
+// countTask adds a task to the indexes, by 1, or takes it out of them, by -1.
+func (s *Store) countTask(job Job, i, by int) {
+	task := &job.Tasks[i]
+	if !task.Terminal() {
+		s.unfinished[classKey{job.Spec.Service, job.Spec.Class}] += by
+	}
+	ref := taskRef{job.Spec.ID, i}
+	if task.State == Waiting && task.DueAt > 0 && by > 0 {
+		s.timedTasks[ref] = true
+	} else {
+		delete(s.timedTasks, ref)
+	}
+	if task.Lease.Held() {
+		s.countLease(job, ref, by)
+	} else if task.State == Ready {
+		wanted := demandOf(job, i)
+		if s.waiting[wanted] += by; s.waiting[wanted] == 0 {
+			delete(s.waiting, wanted)
+		}
+	}
+}
+
+// countLease adds a leased task to its worker, or takes it off.
+func (s *Store) countLease(job Job, ref taskRef, by int) {
+	worker := job.Tasks[ref.index].Lease.Worker
+	if s.leases[worker] == nil {
+		s.leases[worker] = map[taskRef]bool{}
+	}
+	if by > 0 {
+		s.leases[worker][ref] = true
+	} else {
+		delete(s.leases[worker], ref)
+	}
+	s.usage[worker] = s.usage[worker].adjusted(job, ref.index, by)
+	s.updateServiceLoad(worker, job.Spec.Class, by*job.Spec.Tasks[ref.index].Resources.Slots)
+}
+
+// workerUsage sums the leases of a worker.
+type workerUsage struct {
+	// used are the resources of all leases, unreported of those that the worker's
+	// report did not count yet, and stopping of those that are being stopped.
+	used, unreported, stopping Resources
+	// stopCount and unstartedCount are how many leases are being stopped and how many
+	// are still to be started.
+	stopCount, unstartedCount int
+	slotsByClass              map[string]int
+}
+
+// adjusted is the usage with a lease added, by 1, or taken off, by -1. The map of
+// classes is changed in place.
+func (u workerUsage) adjusted(job Job, i, by int) workerUsage {
+	lease, resources := &job.Tasks[i].Lease, job.Spec.Tasks[i].Resources
+	add := Resources.Add
+	if by < 0 {
+		add = Resources.Sub
+	}
+	u.used = add(u.used, resources)
+	if lease.StartedAt == 0 || lease.OrphanUntil > 0 {
+		u.unreported = add(u.unreported, resources)
+	}
+	if lease.StopReason != "" {
+		u.stopping, u.stopCount = add(u.stopping, resources), u.stopCount+by
+	} else if lease.StartedAt == 0 {
+		u.unstartedCount += by
+	}
+	if u.slotsByClass == nil {
+		u.slotsByClass = map[string]int{}
+	}
+	u.slotsByClass[job.Spec.Class] += by * resources.Slots
+	return u
+}
--- /dev/null
+++ b/core/state/leadership.go
@@ -0,0 +1,140 @@
+package state
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sorrelloom/core/status"
+)
+
+// schedulerTimeout is how long after its last heartbeat a scheduler counts among those
+// whose majority decides.
+const schedulerTimeout = 4 * time.Second
+
+// Leadership is a role, such as the dispatch of a zone, that one scheduler has at a
+// time. Its Epoch grows whenever it moves, so that what an earlier leader asks for is
+// rejected.
+type Leadership struct {
+	Name       string        `json:"name"`
+	Leader     string        `json:"holder"`
+	Epoch      uint64        `json:"epoch"`
+	LastSeenAt time.Duration `json:"seenAt"`
+	// Votes say, for the epoch after this one, whom each scheduler would have lead.
+	Votes map[string]string `json:"votes,omitempty"`
+}
+
+// Scheduler is a scheduler process that has been heard.
+type Scheduler struct {
+	ID         string        `json:"id"`
+	Zone       string        `json:"site"`
+	LastSeenAt time.Duration `json:"seenAt"`
+}
+
+// SchedulerHeartbeat keeps a scheduler's registration and its leaderships. With a
+// Leadership it is a vote that this one, if its leader is silent, go to the Candidate;
+// with Transfer it is the leader itself that names its successor.
+type SchedulerHeartbeat struct {
+	Scheduler  string `json:"daemon"`
+	Zone       string `json:"site"`
+	Leadership string `json:"want,omitempty"`
+	Candidate  string `json:"for,omitempty"`
+	// Epoch is that of the leadership which the vote is to end.
+	Epoch    uint64 `json:"epoch,omitempty"`
+	Transfer bool   `json:"pass,omitempty"`
+	Leaving  bool   `json:"leaving,omitempty"`
+}
+
+// schedulerHeartbeat keeps a scheduler known and moves leaderships: the leader may
+// name its successor; when it is silent, a majority of the live schedulers do.
+func (s *Store) schedulerHeartbeat(hb SchedulerHeartbeat) Result {
+	s.registerScheduler(&hb)
+	if hb.Leadership == "" {
+		return Result{Code: status.OK}
+	}
+	leadership := s.leaderships[hb.Leadership]
+	silent := leadership.Leader == "" ||
+		s.now-leadership.LastSeenAt > s.config.Limits.HeartbeatTimeout.Duration/2
+	transferred := hb.Transfer && leadership.Leader == hb.Scheduler
+	if hb.Epoch != leadership.Epoch || !silent && !transferred {
+		return reject(status.StaleEpoch, "duty %s is held by %s at epoch %d",
+			hb.Leadership, leadership.Leader, leadership.Epoch)
+	}
+	if _, ok := s.schedulers[hb.Candidate]; !ok {
+		return reject(status.UnknownName, "no scheduler %s has said hello", hb.Candidate)
+	}
+	votes := map[string]string{hb.Scheduler: hb.Candidate}
+	for voter, candidate := range leadership.Votes {
+		if voter != hb.Scheduler {
+			votes[voter] = candidate
+		}
+	}
+	leadership.Name, leadership.Votes = hb.Leadership, votes
+	if transferred || hasMajority(votes, hb.Candidate, s.Schedulers(schedulerTimeout)) {
+		s.setLeader(hb.Leadership, hb.Candidate)
+		s.changes = append(s.changes, Change{All: true})
+	} else {
+		s.leaderships[hb.Leadership] = leadership
+	}
+	return Result{Code: status.OK}
+}
+
+// registerScheduler keeps a scheduler and its leaderships known, or forgets one that
+// leaves.
+func (s *Store) registerScheduler(hb *SchedulerHeartbeat) {
+	if hb.Leaving {
+		delete(s.schedulers, hb.Scheduler)
+		return
+	}
+	s.schedulers[hb.Scheduler] = Scheduler{ID: hb.Scheduler, Zone: hb.Zone, LastSeenAt: s.now}
+	for name, leadership := range s.leaderships {
+		if leadership.Leader == hb.Scheduler {
+			leadership.LastSeenAt = s.now
+			s.leaderships[name] = leadership
+		}
+	}
+}
+
+// transferLeadership hands a leadership over because an operator asks for it.
+func (s *Store) transferLeadership(name, candidate string) Result {
+	leadership, known := s.leaderships[name]
+	if !known {
+		return rejectUnknownName("duty", name, slices.Sorted(maps.Keys(s.leaderships)))
+	}
+	if _, ok := s.schedulers[candidate]; !ok {
+		return rejectUnknownName("scheduler", candidate, slices.Sorted(maps.Keys(s.schedulers)))
+	}
+	if leadership.Leader == candidate {
+		return Result{Code: status.AlreadyDone}
+	}
+	s.setLeader(name, candidate)
+	s.changes = append(s.changes, Change{All: true})
+	return Result{Code: status.OK}
+}
+
+// takeLeadership gives a leadership to the primary's own dispatcher, which needs no
+// vote: whoever leads the log is fenced by its epoch already.
+func (s *Store) takeLeadership(name string, hb SchedulerHeartbeat) Result {
+	s.schedulers[hb.Scheduler] = Scheduler{ID: hb.Scheduler, Zone: hb.Zone, LastSeenAt: s.now}
+	s.setLeader(name, hb.Scheduler)
+	return Result{Code: status.OK}
+}
+
+// setLeader begins the next epoch of a leadership.
+func (s *Store) setLeader(name, leader string) {
+	s.audit.record(Decision{Kind: decisionSetLeader, Name: name, Worker: leader})
+	s.leaderships[name] = Leadership{
+		Name: name, Leader: leader, Epoch: s.leaderships[name].Epoch + 1, LastSeenAt: s.now,
+	}
+}
+
+// hasMajority says whether more than half of the live schedulers vote for a candidate.
+func hasMajority(votes map[string]string, candidate string, live []Scheduler) bool {
+	count := 0
+	for _, scheduler := range live {
+		if votes[scheduler.ID] == candidate {
+			count++
+		}
+	}
+	return count > len(live)/2
+}
--- /dev/null
+++ b/core/state/pastjob.go
@@ -0,0 +1,34 @@
+package state
+
+import (
+	"time"
+
+	"sorrelloom/core/status"
+)
+
+// PastJob is what is left of a job once its record is gone, so that one that is
+// submitted again is not started again.
+type PastJob struct {
+	Digest  string        `json:"digest"`
+	Service string        `json:"service"`
+	Class   string        `json:"class"`
+	State   string        `json:"state"`
+	EndedAt time.Duration `json:"endedAt"`
+}
+
+// PastJob gives what is left of a job whose record is gone.
+func (s *Store) PastJob(id string) (Job, bool) {
+	past, ok := s.pastJobs.byKey[id]
+	spec := JobSpec{ID: id, Service: past.Service, Class: past.Class}
+	return Job{Spec: spec, State: past.State, EndedAt: past.EndedAt}, ok
+}
+
+// RejectUnknownJob is the result for a job of which nothing is known. It says how far
+// back the state can tell.
+func (s *Store) RejectUnknownJob(id string) Result {
+	if s.forgottenUntil > 0 {
+		return reject(status.UnknownJob, "job %s is not known; of jobs that ended over %s ago nothing is",
+			id, (s.now - s.forgottenUntil).Round(time.Second))
+	}
+	return reject(status.UnknownJob, "job %s is not known; it was never accepted", id)
+}
--- a/core/state/read.go
+++ b/core/state/read.go
@@ -1,52 +1,39 @@
-// Questions that change nothing: a job, how much of a class waits, the plan, and
-// how an operator's write was answered.
-
 package state
 
 import "sorrelloom/core/status"
 
-// Read answers a command of a kind that Reads.
-func (l *Store) Read(cmd Command) Result {
+// Read answers a command of a kind that changes nothing (IsReadOnly): a job, how much of
+// a class waits, the configuration, and how an operator's write was answered.
+func (s *Store) Read(cmd Command) Result {
 	if cmd.Host != "" {
-		if _, a := l.resolveRoute(cmd.Host, cmd.Path); !a.Code.IsSuccess() {
-			return a
+		if _, result := s.resolveRoute(cmd.Host, cmd.Path); !result.Code.IsSuccess() {
+			return result
 		}
 	}
 	switch cmd.Kind {
 	case KindReadJob:
-		job, ok := l.jobs[cmd.Name]
+		job, ok := s.jobs[cmd.Name]
 		if !ok {
-			job, ok = l.PastJob(cmd.Name)
+			job, ok = s.PastJob(cmd.Name)
 		}
 		if !ok {
-			return l.RejectUnknownJob(cmd.Name)
+			return s.RejectUnknownJob(cmd.Name)
 		}
-		return l.jobResult(cmd, status.OK, job)
+		return s.jobResult(cmd, status.OK, job)
 	case KindReadWaitingCount:
-		e, _ := l.config.FindRoute(cmd.Host, cmd.Path)
-		return Result{Code: status.OK, WaitingCount: l.waitingCount(e.Service, e.Class)}
+		route, _ := s.config.FindRoute(cmd.Host, cmd.Path)
+		return Result{Code: status.OK, WaitingCount: s.waitingCount(route.Service, route.Class)}
 	case KindReadConfig:
-		if l.config.Version == 0 {
+		if s.config.Version == 0 {
 			return Result{Code: status.OK}
 		}
-		p := l.config
-		return Result{Code: status.OK, Config: &p, ConfigVersion: p.Version}
+		current := s.config
+		return Result{Code: status.OK, Config: &current, ConfigVersion: current.Version}
 	case KindReadRequest:
-		if known, ok := l.rememberedRequest(cmd.Name); ok {
+		if known, ok := s.rememberedRequest(cmd.Name); ok {
 			return known.Result
 		}
 		return reject(status.UnknownName, "no write with the key %s", cmd.Name)
 	}
-	return Result{Code: status.OK, ConfigVersion: l.config.Version}
-}
-
-// waitingOf counts the tasks of a class that wait for a turn.
-func (l *Store) waitingCount(service, class string) int {
-	count := 0
-	for n, c := range l.waiting {
-		if n.service == service && n.class == class {
-			count += c
-		}
-	}
-	return count
+	return Result{Code: status.OK, ConfigVersion: s.config.Version}
 }
--- /dev/null
+++ b/core/state/snapshot.go
@@ -0,0 +1,199 @@
+package state
+
+import (
+	"iter"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"sorrelloom/core/config"
+	"sorrelloom/core/machine"
+)
+
+// The buckets of records, and the keys in the bucket of metadata. The values are
+// written to disks and sent to replicas of other versions; they never change.
+const (
+	bucketLeadership = "duty"
+	bucketJob        = "job"
+	bucketMetadata   = "meta"
+	bucketPastJob    = "past"
+	bucketRequest    = "request"
+	bucketScheduler  = "daemon"
+	bucketTask       = "task"
+	bucketWorker     = "worker"
+	bucketZone       = "site"
+
+	keyPosition = "position"
+	keyConfig   = "plan"
+)
+
+// Snapshot is the state as it stood at one position, for transfers to other replicas
+// and for disks. To take one costs a copy of the maps; jobs, workers and the rest are
+// copied on write, so that a snapshot can be encoded later, piece by piece and by
+// another goroutine.
+type Snapshot struct {
+	metadata     metadata
+	config       config.Config
+	jobs         map[string]Job
+	workers      map[string]Worker
+	drainedZones map[string]bool
+	leaderships  map[string]Leadership
+	schedulers   map[string]Scheduler
+	requests     map[string]Request
+	pastJobs     map[string]PastJob
+}
+
+// metadata is the record of what is none of a map.
+type metadata struct {
+	Position          LogPosition   `json:"position"`
+	Time              time.Duration `json:"at"`
+	NextTaskNumber    uint64        `json:"next"`
+	ForgottenUntil    time.Duration `json:"horizon,omitempty"`
+	LastDecisionIndex uint64        `json:"decision,omitempty"`
+	// ZoneOrders gives the log index of the last order to each zone.
+	ZoneOrders map[string]uint64 `json:"orders,omitempty"`
+}
+
+// Snapshot takes the state between two commands.
+func (s *Store) Snapshot() *Snapshot {
+	return &Snapshot{
+		metadata: metadata{
+			Position:          s.position,
+			Time:              s.now,
+			NextTaskNumber:    s.nextTaskNumber,
+			ForgottenUntil:    s.forgottenUntil,
+			LastDecisionIndex: s.audit.lastIndex,
+			ZoneOrders:        maps.Clone(s.zoneOrders),
+		},
+		config:       s.config,
+		jobs:         maps.Clone(s.jobs),
+		workers:      maps.Clone(s.workers),
+		drainedZones: maps.Clone(s.drainedZones),
+		leaderships:  maps.Clone(s.leaderships),
+		schedulers:   maps.Clone(s.schedulers),
+		requests:     s.rememberedRequests(),
+		pastJobs:     maps.Clone(s.pastJobs.byKey),
+	}
+}
+
+// applyMetadata takes what the record of metadata says.
+func (s *Store) applyMetadata(m metadata) {
+	s.position, s.now, s.nextTaskNumber = m.Position, m.Time, m.NextTaskNumber
+	s.forgottenUntil, s.audit.lastIndex = m.ForgottenUntil, m.LastDecisionIndex
+	maps.Copy(s.zoneOrders, m.ZoneOrders)
+}
+
+// Records is the whole state, encoded.
+func (s *Store) Records() []machine.Record { return slices.Collect(s.Snapshot().Records()) }
+
+// Position is where the state stood.
+func (c *Snapshot) Position() LogPosition { return c.metadata.Position }
+
+// RecordKey names one record of a snapshot.
+type RecordKey struct{ Bucket, Key string }
+
+// Keys names all records of the snapshot, in the order of buckets and keys.
+func (c *Snapshot) Keys() []RecordKey {
+	keys := appendKeys(nil, bucketScheduler, c.schedulers)
+	keys = appendKeys(keys, bucketLeadership, c.leaderships)
+	keys = appendKeys(keys, bucketJob, c.jobs)
+	keys = append(keys, RecordKey{bucketMetadata, keyPosition}, RecordKey{bucketMetadata, keyConfig})
+	keys = appendKeys(keys, bucketPastJob, c.pastJobs)
+	keys = appendKeys(keys, bucketRequest, c.requests)
+	keys = appendKeys(keys, bucketZone, c.drainedZones)
+	for _, job := range slices.Sorted(maps.Keys(c.jobs)) {
+		for i := range c.jobs[job].Tasks {
+			keys = append(keys, RecordKey{bucketTask, taskKey(taskRef{job, i})})
+		}
+	}
+	return appendKeys(keys, bucketWorker, c.workers)
+}
+
+func appendKeys[V any](keys []RecordKey, bucket string, values map[string]V) []RecordKey {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		keys = append(keys, RecordKey{bucket, key})
+	}
+	return keys
+}
+
+// Record encodes one record, which Keys has named.
+func (c *Snapshot) Record(key RecordKey) machine.Record {
+	return machine.Record{Bucket: key.Bucket, Key: key.Key, Value: machine.MustJSON(c.value(key))}
+}
+
+func (c *Snapshot) value(key RecordKey) any {
+	switch key.Bucket {
+	case bucketJob:
+		return withoutTasks(c.jobs[key.Key])
+	case bucketTask:
+		ref := parseTaskKey(key.Key)
+		return c.jobs[ref.job].Tasks[ref.index]
+	case bucketWorker:
+		return c.workers[key.Key]
+	case bucketZone:
+		return c.drainedZones[key.Key]
+	case bucketLeadership:
+		return c.leaderships[key.Key]
+	case bucketScheduler:
+		return c.schedulers[key.Key]
+	case bucketRequest:
+		return c.requests[key.Key]
+	case bucketPastJob:
+		return c.pastJobs[key.Key]
+	}
+	if key.Key == keyConfig {
+		return c.config
+	}
+	return c.metadata
+}
+
+// withoutTasks leaves out the tasks, which are records of their own, and what the
+// steps of a job say already.
+func withoutTasks(job Job) Job {
+	job.Tasks = nil
+	if len(job.Spec.Steps) > 0 {
+		job.Spec.Tasks = nil
+	}
+	return job
+}
+
+// Records encodes the snapshot, one record at a time.
+func (c *Snapshot) Records() iter.Seq[machine.Record] {
+	return func(yield func(machine.Record) bool) {
+		for _, key := range c.Keys() {
+			if !yield(c.Record(key)) {
+				return
+			}
+		}
+	}
+}
+
+// Store gives a store that stands where the snapshot was taken.
+func (c *Snapshot) Store() *Store {
+	s := New()
+	s.applyMetadata(c.metadata)
+	s.config, s.policies = c.config, c.config.Compile()
+	s.jobs, s.workers = maps.Clone(c.jobs), maps.Clone(c.workers)
+	s.drainedZones = maps.Clone(c.drainedZones)
+	s.leaderships, s.schedulers = maps.Clone(c.leaderships), maps.Clone(c.schedulers)
+	s.pastJobs.byKey = maps.Clone(c.pastJobs)
+	for key, request := range c.requests {
+		s.addRequest(key, request)
+	}
+	s.rebuildIndexes()
+	return s
+}
+
+// taskKey is the key of a task's record: its job and its index in it.
+func taskKey(ref taskRef) string { return ref.job + "/" + strconv.Itoa(ref.index) }
+
+func parseTaskKey(key string) taskRef {
+	job, number, _ := strings.Cut(key, "/")
+	i, err := strconv.Atoi(number)
+	if err != nil {
+		return taskRef{}
+	}
+	return taskRef{job, i}
+}
--- a/core/state/steps.go
+++ b/core/state/steps.go
@@ -1,6 +1,3 @@
-// Jobs in steps, and where a task stands in its job: what it needs done before
-// it, which step and which due time it belongs to.
-
 package state
 
 import (
@@ -8,94 +5,146 @@
 	"time"
 )
 
-// expand writes a job's steps out as tasks, time by time and step by step.
+// expandSteps writes a job's steps out as tasks, repetition by repetition and step
+// by step. The tasks of a step share their slice of dependencies.
 func expandSteps(spec JobSpec) []TaskSpec {
-	times := max(1, spec.Repeat.Count)
-	var out []TaskSpec
-	for t := range times {
+	var tasks []TaskSpec
+	for repetition := range max(1, spec.Repeat.Count) {
+		// first gives the index of the first task of each step.
 		first := make([]int, len(spec.Steps))
-		for s, step := range spec.Steps {
-			first[s] = len(out)
-			var needs []int
-			for _, dep := range step.DependsOn {
-				for n := range spec.Steps[dep].Count {
-					needs = append(needs, first[dep]+n)
+		for i, step := range spec.Steps {
+			first[i] = len(tasks)
+			task := TaskSpec{
+				Resources: step.Resources, Labels: step.Labels, MaxFailures: step.MaxFailures,
+				Placement: step.Placement, Repetition: repetition, Step: i,
+			}
+			for _, dependency := range step.DependsOn {
+				for n := range spec.Steps[dependency].Count {
+					task.Dependencies = append(task.Dependencies, first[dependency]+n)
 				}
 			}
-			gang := ""
 			if step.Gang {
-				gang = fmt.Sprintf("%d.%d", t, s)
+				task.Gang = fmt.Sprintf("%d.%d", repetition, i)
 			}
 			for n := range step.Count {
-				out = append(out, TaskSpec{ID: fmt.Sprintf("%d.%d.%d", t, s, n), Resources: step.Resources, Labels: step.Labels, Gang: gang,
-					MaxFailures: step.MaxFailures, Placement: step.Placement, Dependencies: needs, Repetition: t, Step: s})
+				task.ID = fmt.Sprintf("%d.%d.%d", repetition, i, n)
+				tasks = append(tasks, task)
 			}
 		}
 	}
-	return out
+	return tasks
 }
 
-// placed works out what the tasks of a job need; names that do not exist are left
-// out, the check of the job has them.
+// resolveDependencies works out the tasks of a job with the indexes of what they
+// depend on. Names that do not exist are left out; the job's validation rejects them.
 func resolveDependencies(spec JobSpec) []TaskSpec {
 	if len(spec.Steps) > 0 {
 		return expandSteps(spec)
 	}
 	index := make(map[string]int, len(spec.Tasks))
-	for i, t := range spec.Tasks {
-		index[t.ID] = i
+	for i, task := range spec.Tasks {
+		index[task.ID] = i
 	}
-	out := make([]TaskSpec, len(spec.Tasks))
-	for i, t := range spec.Tasks {
-		t.Dependencies = nil
-		for _, dep := range t.DependsOn {
-			if j, ok := index[dep]; ok {
-				t.Dependencies = append(t.Dependencies, j)
+	tasks := make([]TaskSpec, len(spec.Tasks))
+	for i, task := range spec.Tasks {
+		task.Dependencies = nil
+		for _, id := range task.DependsOn {
+			if dependency, ok := index[id]; ok {
+				task.Dependencies = append(task.Dependencies, dependency)
 			}
 		}
-		out[i] = t
+		tasks[i] = task
 	}
-	return out
+	return tasks
 }
 
-// SameStep says whether two tasks of a job belong to one step of one due time.
+// taskLevels gives each task the length of the longest chain of dependencies before
+// it, all members of a gang the level of the deepest; nil if there is a cycle. A gang
+// counts as one node, so a cycle through a gang is found too.
+func taskLevels(spec JobSpec) []int {
+	if len(spec.Steps) > 0 {
+		return stepLevels(spec)
+	}
+	levels, gangLevels := make([]int, len(spec.Tasks)), map[string]int{}
+	// Without a cycle each round settles one more level of tasks and gangs.
+	for range 2*len(spec.Tasks) + 2 {
+		changed := false
+		for i, task := range spec.Tasks {
+			level := max(levels[i], gangLevels[task.Gang])
+			for _, dependency := range task.Dependencies {
+				level = max(level, levels[dependency]+1)
+			}
+			if task.Gang != "" {
+				gangLevels[task.Gang] = level
+			}
+			changed = changed || level != levels[i]
+			levels[i] = level
+		}
+		if !changed {
+			return levels
+		}
+	}
+	return nil
+}
+
+// stepLevels gives each task of a job in steps the level of its step. Steps depend on
+// earlier ones only, so there is no cycle.
+func stepLevels(spec JobSpec) []int {
+	ofStep := make([]int, len(spec.Steps))
+	for i, step := range spec.Steps {
+		for _, dependency := range step.DependsOn {
+			ofStep[i] = max(ofStep[i], ofStep[dependency]+1)
+		}
+	}
+	levels := make([]int, len(spec.Tasks))
+	for i, task := range spec.Tasks {
+		levels[i] = ofStep[task.Step]
+	}
+	return levels
+}
+
+// SameStep says whether two tasks of a job belong to one step of one repetition.
 func (j Job) SameStep(a, b int) bool {
 	if len(j.Spec.Steps) > 0 {
-		return j.Spec.Tasks[a].Step == j.Spec.Tasks[b].Step && j.Spec.Tasks[a].Repetition == j.Spec.Tasks[b].Repetition
+		one, other := &j.Spec.Tasks[a], &j.Spec.Tasks[b]
+		return one.Step == other.Step && one.Repetition == other.Repetition
 	}
 	return j.Tasks[a].Level == j.Tasks[b].Level
 }
 
-// Crowded says whether as many of a task's step stand on a worker as may.
-func (l *Store) AtWorkerLimit(job Job, i int, worker string, more int) bool {
-	most := job.Spec.Tasks[i].MaxPerWorker
-	if most <= 0 {
+// AtWorkerLimit says whether a worker runs as many tasks of a task's step as may run
+// on one. Those in pending are about to be leased to it as well.
+func (s *Store) AtWorkerLimit(job Job, i int, worker string, pending int) bool {
+	limit := job.Spec.Tasks[i].MaxPerWorker
+	if limit <= 0 {
 		return false
 	}
-	for j, t := range job.Tasks {
-		if j != i && t.Lease.Held() && t.Lease.Worker == worker && job.SameStep(i, j) {
-			more++
+	count := pending
+	for j := range job.Tasks {
+		lease := &job.Tasks[j].Lease
+		if j != i && lease.Held() && lease.Worker == worker && job.SameStep(i, j) {
+			count++
 		}
 	}
-	return more >= most
+	return count >= limit
 }
 
-// Chain is the longest chain of guessed run times in a job, of one due time.
+// CriticalPath is the longest chain of expected run times in a job, of one repetition.
 func (j Job) CriticalPath() time.Duration {
 	var longest time.Duration
-	if len(j.Spec.Steps) > 0 {
-		ends := make([]time.Duration, len(j.Spec.Steps))
-		for s, step := range j.Spec.Steps {
-			for _, dep := range step.DependsOn {
-				ends[s] = max(ends[s], ends[dep])
-			}
-			ends[s] += step.ExpectedRunTime.Duration
-			longest = max(longest, ends[s])
+	if len(j.Spec.Steps) == 0 {
+		for _, task := range j.Spec.Tasks {
+			longest = max(longest, task.ExpectedRunTime.Duration)
 		}
 		return longest
 	}
-	for _, t := range j.Spec.Tasks {
-		longest = max(longest, t.ExpectedRunTime.Duration)
+	ends := make([]time.Duration, len(j.Spec.Steps))
+	for i, step := range j.Spec.Steps {
+		for _, dependency := range step.DependsOn {
+			ends[i] = max(ends[i], ends[dependency])
+		}
+		ends[i] += step.ExpectedRunTime.Duration
+		longest = max(longest, ends[i])
 	}
 	return longest
 }
--- /dev/null
+++ b/core/state/store.go
@@ -0,0 +1,165 @@
+// Package state is the replicated state machine of the cluster: jobs, tasks,
+// leases, workers, drained zones, leaderships and the configuration.
+//
+// It is pure and deterministic. A Store changes by Apply alone, which takes one
+// Command of the replicated log at a time, never reads a clock, draws no random
+// number and does no input or output. The same commands therefore give the same
+// state, the same results and the same encoded records on every replica, also
+// where replicas of neighbouring versions run side by side.
+//
+// Every promise of the scheduler is checked here, in the one conditional write
+// that makes a change; whoever asks for a change may be slow, stale or wrong, and
+// is then rejected with the state left as it was. The rules kept are:
+//
+//   - A task has at most one lease at a time, and a lease is returned only when
+//     its worker says that it does not run the attempt, or when the attempt must
+//     have ended: nothing runs twice (lease.go).
+//   - A task is leased only once all that it depends on is done and its due time
+//     has come (grant.go).
+//   - The leases on a worker never exceed the resources that it reported
+//     (resources.go), nor a class its share unless it may borrow (share.go).
+//   - A gang is leased whole or not at all, and is stopped as a whole (gang.go).
+//   - A task that succeeded never runs again; a failure is counted once (attempt.go).
+//   - Only the current leader of a role grants leases: its epoch fences out all
+//     earlier ones (leadership.go).
+//   - An operator's write that is repeated is answered as before and changes
+//     nothing (idempotency.go).
+package state
+
+import (
+	"time"
+
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
+)
+
+// Store is the state. It is not safe for concurrent use; Snapshot gives a view
+// that another goroutine may read.
+type Store struct {
+	position LogPosition
+	// now is state time: the latest time that a command was stamped with.
+	now            time.Duration
+	nextTaskNumber uint64
+	config         config.Config
+	policies       config.CompiledPolicies
+	jobs           map[string]Job
+	workers        map[string]Worker
+	drainedZones   map[string]bool
+	// zoneOrders gives the log index of the last order to drain or refill each zone.
+	zoneOrders  map[string]uint64
+	leaderships map[string]Leadership
+	schedulers  map[string]Scheduler
+	// requests and configRequests are the operators' writes by idempotency key.
+	requests       boundedMap[Request]
+	configRequests boundedMap[Request]
+	pastJobs       boundedMap[PastJob]
+	// forgottenUntil is when the last of the jobs ended of which nothing is known any more.
+	forgottenUntil time.Duration
+
+	indexes
+	cache queryCache
+	// workerList has the workers in order of their names; nil until it is asked for.
+	workerList []Worker
+	// serviceLoads are counted when they are asked for; a missing one is counted anew.
+	serviceLoads map[string]*cachedServiceLoad
+
+	// clonedJobs are the jobs whose task slice the current command has copied.
+	clonedJobs map[string]bool
+	changes    []Change
+	audit      auditTrail
+}
+
+// Change names a task or a worker that the last commands touched. Task is -1 if
+// it is the job as a whole.
+type Change struct {
+	Job    string
+	Task   int
+	Worker string
+	// All says that anything may have changed.
+	All bool
+}
+
+// New returns an empty store with the default configuration.
+func New() *Store {
+	s := &Store{
+		config:         config.Default(),
+		nextTaskNumber: 1,
+		jobs:           map[string]Job{},
+		workers:        map[string]Worker{},
+		drainedZones:   map[string]bool{},
+		zoneOrders:     map[string]uint64{},
+		leaderships:    map[string]Leadership{},
+		schedulers:     map[string]Scheduler{},
+		requests:       newBoundedMap[Request](),
+		configRequests: newBoundedMap[Request](),
+		pastJobs:       newBoundedMap[PastJob](),
+		clonedJobs:     map[string]bool{},
+	}
+	s.policies = s.config.Compile()
+	s.rebuildIndexes()
+	return s
+}
+
+// Position is that of the last command applied.
+func (s *Store) Position() LogPosition { return s.position }
+
+// Now is state time: monotonic, counted from the bootstrap of the cluster and
+// carried on by each primary.
+func (s *Store) Now() time.Duration { return s.now }
+
+// Config is the configuration in force.
+func (s *Store) Config() config.Config { return s.config }
+
+// Policies are the compiled policies of the configuration in force.
+func (s *Store) Policies() config.CompiledPolicies { return s.policies }
+
+// TakeChanges hands over what changed since it was last called.
+func (s *Store) TakeChanges() []Change {
+	changes := s.changes
+	s.changes = nil
+	return changes
+}
+
+// Apply makes the one change that a command asks for, or rejects it with the
+// state left as it was. It never looks at a clock: cmd.Time is state time, which
+// never runs backwards.
+func (s *Store) Apply(cmd Command) Result {
+	s.position = cmd.LogPosition
+	s.clonedJobs = map[string]bool{}
+	defer func() {
+		s.cache = queryCache{}
+		s.audit.closeEntry(s.position, s.now)
+	}()
+	s.now = max(s.now, cmd.Time)
+	switch cmd.Kind {
+	case KindAcceptJob:
+		return s.acceptJob(cmd)
+	case KindCancelJob:
+		return s.cancelJob(cmd)
+	case KindHeartbeat:
+		return s.heartbeat(cmd.Heartbeat)
+	case KindGrantLeases:
+		return s.grantLeases(cmd.Grant)
+	case KindPreempt:
+		return s.preempt(cmd.Grant)
+	case KindChangeConfig:
+		return s.applyOnce(cmd, func() Result { return s.changeConfig(cmd.ConfigChange) })
+	case KindDrainZone:
+		return s.applyOnce(cmd, func() Result { return s.drainZone(cmd) })
+	case KindDrainWorker:
+		return s.applyOnce(cmd, func() Result { return s.drainWorker(cmd.Name, cmd.Drain) })
+	case KindConfirmWorkerDead:
+		return s.applyOnce(cmd, func() Result { return s.confirmWorkerDead(cmd.Name) })
+	case KindSchedulerHeartbeat:
+		return s.schedulerHeartbeat(cmd.SchedulerHeartbeat)
+	case KindTransferLeadership:
+		return s.applyOnce(cmd, func() Result { return s.transferLeadership(cmd.Name, cmd.SchedulerHeartbeat.Candidate) })
+	case KindTick:
+		return s.tick()
+	case KindTakeLeadership:
+		return s.takeLeadership(cmd.Name, cmd.SchedulerHeartbeat)
+	case KindRenewWorkers:
+		return s.renewWorkers(cmd.Renewals)
+	}
+	return reject(status.Malformed, "unknown command %q", cmd.Kind)
+}
--- /dev/null
+++ b/core/state/submit.go
@@ -0,0 +1,152 @@
+package state
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"sorrelloom/core/config"
+	"sorrelloom/core/status"
+)
+
+// defaultMaxFailures is that of tasks where neither they nor their class say.
+const defaultMaxFailures = 3
+
+// noConfigRetryAfter is when to come back while there is no configuration yet.
+const noConfigRetryAfter = time.Second
+
+// resolveRoute finds the service and class of a job that names host and path.
+func (s *Store) resolveRoute(host, path string) (config.Route, Result) {
+	if s.config.Version == 0 {
+		return config.Route{}, rejectForNow(noConfigRetryAfter, status.NoConfig, "there is no plan yet")
+	}
+	route, ok := s.config.FindRoute(host, path)
+	if !ok {
+		return route, reject(status.NoRoute, "the plan has no entry for %s%s", host, path)
+	}
+	return route, Result{Code: status.OK}
+}
+
+// routeOf gives the service and class of a job by its route. One that was accepted
+// before keeps its own, also once its route leads elsewhere: it is the same job.
+func (s *Store) routeOf(spec JobSpec) (config.Route, Result) {
+	route, result := s.resolveRoute(spec.Host, spec.Path)
+	if old, ok := s.jobs[spec.ID]; ok {
+		route.Service, route.Class = old.Spec.Service, old.Spec.Class
+	} else if old, ok := s.pastJobs.byKey[spec.ID]; ok {
+		route.Service, route.Class = old.Service, old.Class
+	}
+	return route, result
+}
+
+// jobResult is a result with a job, without its tasks where the command asks for that.
+func (s *Store) jobResult(cmd Command, code status.Code, job Job) Result {
+	if cmd.Summary {
+		job = job.Summary()
+	}
+	return Result{Code: code, Job: job}
+}
+
+// acceptJob takes a job, once. The same job again, also long after its record is
+// gone, is answered as accepted; other content under its id is rejected.
+func (s *Store) acceptJob(cmd Command) Result {
+	spec := cmd.Job
+	if spec.Host != "" {
+		route, result := s.routeOf(spec)
+		if !result.Code.IsSuccess() {
+			return result
+		}
+		spec.Service, spec.Class = route.Service, route.Class
+	}
+	spec = Normalize(spec)
+	submitted := digest(spec)
+	if result, known := s.acceptedBefore(cmd, submitted); known {
+		return result
+	}
+	spec = s.withClassDefaults(spec)
+	if result := s.ValidateJob(spec); !result.Code.IsSuccess() {
+		return result
+	}
+	s.addJob(spec, submitted, cmd.WallTime)
+	return s.jobResult(cmd, status.OK, s.jobs[spec.ID])
+}
+
+// acceptedBefore is the result for a job whose id is known already.
+func (s *Store) acceptedBefore(cmd Command, submitted string) (result Result, known bool) {
+	id := cmd.Job.ID
+	job, exists := s.jobs[id]
+	past, remembered := s.pastJobs.byKey[id]
+	switch {
+	case exists && job.Digest != submitted, !exists && remembered && past.Digest != submitted:
+		return reject(status.JobConflict, "job %s was accepted before with other content", id), true
+	case exists:
+		return s.jobResult(cmd, status.AlreadyDone, job), true
+	case remembered:
+		job, _ = s.PastJob(id)
+		return Result{Code: status.AlreadyDone, Job: job}, true
+	}
+	return Result{}, false
+}
+
+// addJob makes the record of a valid job and its tasks; those that depend on nothing
+// and are due are ready at once.
+func (s *Store) addJob(spec JobSpec, submitted string, wallTime time.Time) {
+	spec.Tasks = resolveDependencies(spec)
+	job := Job{Spec: spec, Digest: submitted, FirstTaskNumber: s.nextTaskNumber, State: Waiting, AcceptedAt: s.now}
+	job.Tasks = newTasks(job)
+	if spec.Repeat.Count > 0 {
+		for i, task := range spec.Tasks {
+			due := spec.Repeat.FirstAt.Add(time.Duration(task.Repetition) * spec.Repeat.Every.Duration)
+			job.Tasks[i].DueAt = max(1, s.now+due.Sub(wallTime))
+		}
+	}
+	s.nextTaskNumber += uint64(len(spec.Tasks))
+	s.jobs[spec.ID], s.activeJobs[spec.ID] = job, true
+	s.audit.record(Decision{Kind: decisionAcceptJob, Job: spec.ID, Digest: job.Digest})
+	for i := range job.Tasks {
+		s.countTask(job, i, 1)
+	}
+	s.makeTasksReady(spec.ID)
+}
+
+// Normalize fills in what the caller left out.
+func Normalize(spec JobSpec) JobSpec {
+	spec.Steps = slices.Clone(spec.Steps)
+	for i := range spec.Steps {
+		spec.Steps[i].Resources = orOneSlot(spec.Steps[i].Resources)
+	}
+	if len(spec.Steps) > 0 {
+		spec.Tasks = nil
+		return spec
+	}
+	spec.Tasks = slices.Clone(spec.Tasks)
+	for i := range spec.Tasks {
+		task := &spec.Tasks[i]
+		task.Resources = orOneSlot(task.Resources)
+		task.MaxFailures = cmp.Or(task.MaxFailures, defaultMaxFailures)
+	}
+	return spec
+}
+
+// orOneSlot is what a task needs that names nothing.
+func orOneSlot(resources Resources) Resources { return cmp.Or(resources, Resources{Slots: 1}) }
+
+// withClassDefaults takes what the class says where steps say nothing.
+func (s *Store) withClassDefaults(spec JobSpec) JobSpec {
+	maxFailures := cmp.Or(s.config.Services[spec.Service].Classes[spec.Class].MaxFailures, defaultMaxFailures)
+	spec.Steps = slices.Clone(spec.Steps)
+	for i := range spec.Steps {
+		spec.Steps[i].MaxFailures = cmp.Or(spec.Steps[i].MaxFailures, maxFailures)
+	}
+	return spec
+}
+
+// newTasks is how the tasks of a job begin.
+func newTasks(job Job) []Task {
+	levels := taskLevels(job.Spec)
+	tasks := make([]Task, len(job.Spec.Tasks))
+	for i := range tasks {
+		tasks[i] = Task{Number: job.FirstTaskNumber + uint64(i), State: Waiting, Level: levels[i]}
+	}
+	return tasks
+}
--- /dev/null
+++ b/core/state/tick.go
@@ -0,0 +1,115 @@
+package state
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"sorrelloom/core/status"
+)
+
+// timedAction is what a tick does because its time has come. If it is on a job, the
+// job's tasks are looked at after it.
+type timedAction struct {
+	job   string
+	apply func()
+}
+
+// TickDue says whether a tick at the given time would change anything.
+func (s *Store) TickDue(now time.Duration) bool { return len(s.dueActions(now)) > 0 }
+
+// tick carries out what is due by state time.
+func (s *Store) tick() Result {
+	for _, action := range s.dueActions(s.now) {
+		action.apply()
+		if action.job != "" {
+			s.makeTasksReady(action.job)
+		}
+	}
+	return Result{Code: status.OK}
+}
+
+// dueActions gives what is due at a time, in the order in which it is carried out.
+func (s *Store) dueActions(now time.Duration) []timedAction {
+	var actions []timedAction
+	actions = s.appendDeadlines(actions, now)
+	actions = s.appendDueTasks(actions, now)
+	actions = s.appendDueLeases(actions, now)
+	actions = s.appendForgetting(actions, now)
+	return actions
+}
+
+// appendDeadlines fails the jobs whose deadline has passed.
+func (s *Store) appendDeadlines(actions []timedAction, now time.Duration) []timedAction {
+	for _, id := range slices.Sorted(maps.Keys(s.activeJobs)) {
+		job := s.jobs[id]
+		deadline := job.Spec.Deadline.Duration
+		if deadline > 0 && job.EndingState == "" && now > job.AcceptedAt+deadline {
+			actions = append(actions, timedAction{id, func() { s.endJob(id, Failed, endReasonDeadline) }})
+		}
+	}
+	return actions
+}
+
+// appendDueTasks has the jobs looked at with tasks whose due time has come.
+func (s *Store) appendDueTasks(actions []timedAction, now time.Duration) []timedAction {
+	var due []taskRef
+	for ref := range s.timedTasks {
+		if now >= s.taskAt(ref).DueAt && s.jobs[ref.job].EndingState == "" && s.dependenciesDone(ref) {
+			due = append(due, ref)
+		}
+	}
+	slices.SortFunc(due, func(a, b taskRef) int {
+		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.index, b.index))
+	})
+	for _, ref := range due {
+		actions = append(actions, timedAction{ref.job, func() {}})
+	}
+	return actions
+}
+
+// appendDueLeases returns the leases that have lapsed and stops those that are to be.
+func (s *Store) appendDueLeases(actions []timedAction, now time.Duration) []timedAction {
+	for _, ref := range s.dueLeases(now) {
+		if s.leaseLapsed(now, ref) {
+			lost := s.taskAt(ref).Lease.StartedAt > 0
+			actions = append(actions, timedAction{ref.job, func() {
+				if s.taskAt(ref).Lease.Held() {
+					s.returnLease(ref, lost, returnReasonWorkerLost)
+				}
+			}})
+			continue
+		}
+		reason := s.dueStopReason(now, ref)
+		actions = append(actions, timedAction{ref.job, func() { s.stopLease(ref, reason) }})
+	}
+	return actions
+}
+
+// appendForgetting drops the records that were kept long enough: of jobs that ended, of
+// workers and schedulers that are gone, and of operators' writes.
+func (s *Store) appendForgetting(actions []timedAction, now time.Duration) []timedAction {
+	retention := s.config.Limits.FinishedRetention.Duration
+	for _, id := range s.endedJobs {
+		if now <= s.jobs[id].EndedAt+retention {
+			break
+		}
+		actions = append(actions, timedAction{"", func() { s.forgetJob(id) }})
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.workers)) {
+		keptUntil := s.workers[id].LeaseExpiresAt + s.config.Limits.ExpiryMargin.Duration + retention
+		if now > keptUntil && len(s.leases[id]) == 0 {
+			actions = append(actions, timedAction{"", func() { s.forgetWorker(id) }})
+		}
+	}
+	if requests, configRequests, pastJobs := s.expiredKeys(now); len(requests)+len(configRequests)+len(pastJobs) > 0 {
+		actions = append(actions, timedAction{"", func() { s.forgetExpired(now) }})
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.schedulers)) {
+		if now > s.schedulers[id].LastSeenAt+retention {
+			actions = append(actions, timedAction{"", func() { delete(s.schedulers, id) }})
+		}
+	}
+	return actions
+}
--- a/core/state/views.go
+++ b/core/state/views.go
@@ -1,104 +1,102 @@
-// What others may see of a ledger: copies of records, never the maps behind.
-
 package state
 
 import (
 	"maps"
 	"slices"
 	"sort"
-	"strings"
 	"time"
 )
 
-func splitLabels(text string) []string { return strings.Split(text, ",") }
+// What others may see of the state: copies of records, never the maps behind. The
+// slices in them are shared and must not be changed.
 
-func (l *Store) Job(id string) (Job, bool) {
-	job, ok := l.jobs[id]
+// Job gives a job that is not forgotten yet.
+func (s *Store) Job(id string) (Job, bool) {
+	job, ok := s.jobs[id]
 	return job, ok
 }
 
-func (l *Store) Worker(id string) (Worker, bool) {
-	w, ok := l.workers[id]
-	return w, ok
+// Worker gives a worker by its name.
+func (s *Store) Worker(id string) (Worker, bool) {
+	worker, ok := s.workers[id]
+	return worker, ok
 }
 
-func (l *Store) Leadership(name string) Leadership { return l.leaderships[name] }
+// Leadership gives a leadership by its name, the zero value if nobody had it yet.
+func (s *Store) Leadership(name string) Leadership { return s.leaderships[name] }
 
-// Duties gives every duty by name.
-func (l *Store) Leaderships() []Leadership {
-	out := make([]Leadership, 0, len(l.leaderships))
-	for _, name := range slices.Sorted(maps.Keys(l.leaderships)) {
-		out = append(out, l.leaderships[name])
+// Leaderships gives every leadership by name.
+func (s *Store) Leaderships() []Leadership {
+	leaderships := make([]Leadership, 0, len(s.leaderships))
+	for _, name := range slices.Sorted(maps.Keys(s.leaderships)) {
+		leaderships = append(leaderships, s.leaderships[name])
 	}
-	return out
+	return leaderships
 }
 
-func (l *Store) DrainedZones() []string {
-	return append([]string{}, slices.Sorted(maps.Keys(l.drainedZones))...)
+// DrainedZones gives the zones that are drained, in order; never nil.
+func (s *Store) DrainedZones() []string {
+	return append([]string{}, slices.Sorted(maps.Keys(s.drainedZones))...)
 }
 
-// Daemons gives the schedulers that said hello within the given span.
-func (l *Store) Schedulers(within time.Duration) []Scheduler {
-	var out []Scheduler
-	for _, id := range slices.Sorted(maps.Keys(l.schedulers)) {
-		if d := l.schedulers[id]; l.now-d.LastSeenAt <= within {
-			out = append(out, d)
+// Schedulers gives the schedulers that were heard within the given span.
+func (s *Store) Schedulers(within time.Duration) []Scheduler {
+	var schedulers []Scheduler
+	for _, id := range slices.Sorted(maps.Keys(s.schedulers)) {
+		if scheduler := s.schedulers[id]; s.now-scheduler.LastSeenAt <= within {
+			schedulers = append(schedulers, scheduler)
 		}
 	}
-	return out
+	return schedulers
 }
 
-// Active gives every job that is not over, by acceptance.
-func (l *Store) ActiveJobs() []Job {
-	out := make([]Job, 0, len(l.activeJobs))
-	for id := range l.activeJobs {
-		out = append(out, l.jobs[id])
+// ActiveJobs gives every job that is not over, by acceptance.
+func (s *Store) ActiveJobs() []Job {
+	jobs := make([]Job, 0, len(s.activeJobs))
+	for id := range s.activeJobs {
+		jobs = append(jobs, s.jobs[id])
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Tasks[0].Number < out[j].Tasks[0].Number })
-	return out
+	sort.Slice(jobs, func(i, j int) bool { return jobs[i].Tasks[0].Number < jobs[j].Tasks[0].Number })
+	return jobs
 }
 
-// Pending is a turn on a worker with the orders that concern it.
+// LeasedAttempt is an attempt that is leased, with the orders that concern it.
 type LeasedAttempt struct {
 	Attempt
 	Lease Lease
 	Start StartOrder
 }
 
-// TurnsOn gives the turns a worker holds, by task number.
-func (l *Store) LeasesOn(worker string) []LeasedAttempt {
-	refs := l.leasedTasks(worker)
-	out := make([]LeasedAttempt, 0, len(refs))
-	for _, at := range refs {
-		out = append(out, LeasedAttempt{l.attemptOf(at), l.jobs[at.job].Tasks[at.index].Lease, l.startOrder(at)})
+func (s *Store) leasedAttempt(ref taskRef) LeasedAttempt {
+	return LeasedAttempt{s.attemptOf(ref), s.taskAt(ref).Lease, s.startOrder(ref)}
+}
+
+// LeasesOn gives what is leased to a worker, by task number.
+func (s *Store) LeasesOn(worker string) []LeasedAttempt {
+	refs := s.leasedTasks(worker)
+	attempts := make([]LeasedAttempt, 0, len(refs))
+	for _, ref := range refs {
+		attempts = append(attempts, s.leasedAttempt(ref))
 	}
-	return out
+	return attempts
 }
 
-// Untold gives the turns of a worker that are to be started or stopped.
-func (l *Store) PendingOrders(worker string) []LeasedAttempt {
-	var out []LeasedAttempt
-	for _, at := range l.leasedTasks(worker) {
-		if t := l.jobs[at.job].Tasks[at.index].Lease; t.StopReason != "" || t.StartedAt == 0 {
-			out = append(out, LeasedAttempt{l.attemptOf(at), t, l.startOrder(at)})
+// PendingOrders gives what is leased to a worker and is to be started or stopped.
+func (s *Store) PendingOrders(worker string) []LeasedAttempt {
+	var attempts []LeasedAttempt
+	for _, ref := range s.leasedTasks(worker) {
+		if lease := &s.taskAt(ref).Lease; lease.StopReason != "" || lease.StartedAt == 0 {
+			attempts = append(attempts, s.leasedAttempt(ref))
 		}
 	}
-	return out
+	return attempts
 }
 
-// Stopping is the room of the turns on a worker that are being stopped.
-func (l *Store) StoppingResources(worker string) Resources { return l.usage[worker].stopping }
-
-// Pending says whether a worker has turns to be told of: to start or to stop.
-func (l *Store) HasPendingOrders(worker string) bool {
-	return l.usage[worker].stopCount+l.usage[worker].unstartedCount > 0
+// HasPendingOrders says whether a worker has something to be started or stopped.
+func (s *Store) HasPendingOrders(worker string) bool {
+	usage := s.usage[worker]
+	return usage.stopCount+usage.unstartedCount > 0
 }
 
-// CountOn is how many turns a worker holds.
-func (l *Store) LeaseCount(worker string) int { return len(l.leases[worker]) }
-
-// Used and share, in slots, of one class.
-func (l *Store) ClassUse(service, class string) (usedSlots, shareSlots int) {
-	b := l.ServiceLoad(service)
-	return b.Used[class], l.shareSlots(service, class, b.Slots)
-}
+// LeaseCount is how many leases a worker holds.
+func (s *Store) LeaseCount(worker string) int { return len(s.leases[worker]) }
--- /dev/null
+++ b/core/state/worker.go
@@ -0,0 +1,135 @@
+package state
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"sorrelloom/core/status"
+)
+
+// Worker is the record of a worker: its last heartbeat, but for the attempts in it,
+// and what the state makes of it.
+type Worker struct {
+	Heartbeat
+	Capacity Resources `json:"capacity"`
+	// Unleased is what the worker runs beside its leases, and is told to stop.
+	Unleased Resources `json:"stray,omitzero"`
+	// Drained workers get no leases by an operator's order.
+	Drained bool `json:"drained,omitempty"`
+	// ConfirmedDead says that an operator knows that the worker will not come back.
+	ConfirmedDead  bool          `json:"gone,omitempty"`
+	LastSeenAt     time.Duration `json:"seenAt"`
+	LeaseExpiresAt time.Duration `json:"cutoffAt"`
+}
+
+// ID is the worker's name.
+func (w Worker) ID() string { return w.Heartbeat.Worker }
+
+// Live says whether a worker was heard lately.
+func (s *Store) Live(worker Worker) bool {
+	return s.now-worker.LastSeenAt <= s.config.Limits.HeartbeatTimeout.Duration
+}
+
+// Fits checks the standing rules between a task and a worker, without resources.
+func (s *Store) Fits(job Job, i int, worker Worker) status.Code {
+	if worker.Service != job.Spec.Service {
+		return status.WorkerMismatch
+	}
+	for _, label := range job.Spec.Tasks[i].Labels {
+		if !slices.Contains(worker.Labels, label) {
+			return status.WorkerMismatch
+		}
+	}
+	if worker.Leaving || worker.Drained {
+		return status.Draining
+	}
+	if s.drainedZones[worker.Zone] {
+		return status.ZoneDrained
+	}
+	if !s.Live(worker) {
+		return status.WorkerUnresponsive
+	}
+	return status.OK
+}
+
+// setWorker is the only way a worker changes; it keeps the ordered list right.
+func (s *Store) setWorker(worker Worker) {
+	id := worker.ID()
+	s.invalidateServiceLoad(s.workers[id], worker)
+	s.workers[id] = worker
+	if s.workerList == nil {
+		return
+	}
+	i, known := s.workerIndex(id)
+	if !known {
+		s.workerList = slices.Insert(s.workerList, i, worker)
+		return
+	}
+	s.workerList[i] = worker
+}
+
+// forgetWorker drops the record of a worker.
+func (s *Store) forgetWorker(id string) {
+	delete(s.serviceLoads, s.workers[id].Service)
+	delete(s.workers, id)
+	if i, known := s.workerIndex(id); known {
+		s.workerList = slices.Delete(s.workerList, i, i+1)
+	}
+}
+
+// workerIndex is where a worker is in the ordered list, or where it belongs.
+func (s *Store) workerIndex(id string) (int, bool) {
+	return slices.BinarySearchFunc(s.workerList, id, func(worker Worker, id string) int {
+		return cmp.Compare(worker.ID(), id)
+	})
+}
+
+// Workers gives all workers by name. The list is shared: it is not to be changed,
+// and good until the next command.
+func (s *Store) Workers() []Worker {
+	if s.workerList == nil {
+		s.workerList = make([]Worker, 0, len(s.workers))
+		for _, id := range slices.Sorted(maps.Keys(s.workers)) {
+			s.workerList = append(s.workerList, s.workers[id])
+		}
+	}
+	return s.workerList
+}
+
+// drainWorker drains a worker, or takes that back. What it runs may end.
+func (s *Store) drainWorker(id string, drain bool) Result {
+	worker, ok := s.workers[id]
+	if !ok {
+		return rejectUnknownName("worker", id, slices.Sorted(maps.Keys(s.workers)))
+	}
+	worker.Drained = drain
+	kind := decisionDrainWorker
+	if !drain {
+		kind = decisionUndrainWorker
+	}
+	s.audit.record(Decision{Kind: kind, Worker: id})
+	s.setWorker(worker)
+	s.changes = append(s.changes, Change{Worker: id})
+	return Result{Code: status.OK}
+}
+
+// confirmWorkerDead takes an operator's word that a silent worker will not come back:
+// what is held for it waits only until its attempts must have ended.
+func (s *Store) confirmWorkerDead(id string) Result {
+	worker, ok := s.workers[id]
+	switch {
+	case !ok:
+		return rejectUnknownName("worker", id, slices.Sorted(maps.Keys(s.workers)))
+	case s.Live(worker):
+		return reject(status.WorkerAlive, "worker %s was heard %s ago", id, s.now-worker.LastSeenAt)
+	case worker.ConfirmedDead:
+		return Result{Code: status.AlreadyDone}
+	}
+	worker.ConfirmedDead = true
+	s.audit.record(Decision{Kind: decisionWorkerDead, Worker: id})
+	s.setWorker(worker)
+	s.changes = append(s.changes, Change{Worker: id})
+	return Result{Code: status.OK}
+}
