--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -1,31 +1,37 @@
-// Package pool is the one place where goroutines start. All of them run on one
-// ants pool; a panic in any of them ends the process, since a daemon that has
-// lost a part of itself must not go on as if it were whole.
+// Package pool starts the goroutines of a daemon, all of them on one ants pool. A panic
+// in any of them ends the process: a daemon that has lost a part of itself must not go
+// on with the rest.
 package pool
 
 import (
+	"fmt"
 	"os"
 	"runtime/debug"
 
 	"github.com/panjf2000/ants/v2"
-	"k8s.io/klog/v2"
+
+	"sorrelloom/daemon/logging"
+)
+
+const (
+	unlimited     = -1
+	panicExitCode = 2
 )
 
-var shared = mustPool()
+var shared = mustNewPool()
 
-func mustPool() *ants.Pool {
-	p, err := ants.NewPool(-1, ants.WithPanicHandler(func(v any) {
-		klog.Errorf("event=panic value=%q stack=%q", v, debug.Stack())
-		klog.Flush()
-		os.Exit(2)
+func mustNewPool() *ants.Pool {
+	pool, err := ants.NewPool(unlimited, ants.WithPanicHandler(func(value any) {
+		logging.Error("panic", "value", fmt.Sprint(value), "stack", string(debug.Stack()))
+		os.Exit(panicExitCode)
 	}))
 	if err != nil {
 		panic(err)
 	}
-	return p
+	return pool
 }
 
-// Go runs f on the pool.
+// Go runs f in a goroutine of the pool.
 func Go(f func()) {
 	if err := shared.Submit(f); err != nil {
 		panic(err)
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -62,7 +62,6 @@
 		return 2
 	}
 	logging.Init(role + "@" + e.Address)
-	defer logging.Flush()
 	var data *storage.Store
 	var stored machine.StoredState
 	if keeper {
--- a/tool/scale/core.go
+++ b/tool/scale/core.go
@@ -35,7 +35,6 @@
 // RunCore is a core process until it is told to end.
 func RunCore(c CoreConfig) error {
 	logging.Init("core@" + c.Address)
-	defer logging.Flush()
 	data, stored, err := storage.Open(c.DataDir)
 	if err != nil {
 		return err
