--- a/daemon/storage/faults_test.go
+++ b/daemon/storage/faulty_file_system_test.go
@@ -10,30 +10,30 @@
 	"syscall"
 )
 
-// errPower is what every call gives once power is lost.
+// errPowerLoss is returned by every call from the power loss on.
 var errPowerLoss = fmt.Errorf("power is lost")
 
-// inode is a file's content: what was synced, and what a reader sees now.
+// inode is a file's content: what was synced, and what a reader sees.
 type inode struct{ synced, current []byte }
 
-// nameChange is one change of a name that no folder sync has made last yet.
+// nameChange is a change of a name that no directory sync has made durable yet.
 type nameChange struct {
 	apply func(names map[string]*inode)
 }
 
-// faultyFiles is a file system in memory that loses power after a number of calls. It
-// then has many possible disks: each name that was changed since the last sync of the
-// folder was changed on the disk or was not, and of each file all, none or a part of
-// what was written since its last sync is there.
+// faultyFileSystem is a file system in memory that loses power after a number of calls.
+// There are then many possible disks: each name that was changed since the last sync of
+// the directory is changed on the disk or not, and of what was written to each file since
+// its last sync all, nothing or a part is there.
 type faultyFileSystem struct {
 	names      map[string]*inode // as a reader sees them
-	durable    map[string]*inode // as the last sync of the folder left them
+	durable    map[string]*inode // as the last sync of the directory left them
 	changes    []nameChange
 	calls      int
 	failAtCall int // power is lost at this call; 0 is never
-	// room is how many bytes still fit; a negative number is any.
+	// freeBytes is how many bytes still fit; a negative number is without a limit.
 	freeBytes int64
-	// broken, where set, is the error of each sync of a file.
+	// syncErr, where set, is the error of each sync of a file.
 	syncErr error
 }
 
@@ -141,7 +141,7 @@
 
 func (f *faultyFile) WriteAt(data []byte, at int64) (int, error) {
 	if err := f.files.call(); err != nil {
-		// A call that power was lost in has been done in part.
+		// The call during which power is lost has been done in part.
 		f.put(data[:len(data)/2], at)
 		return 0, err
 	}
@@ -191,7 +191,7 @@
 
 func (f *faultyFile) Close() error { return nil }
 
-// contents are what a file may hold after power was lost.
+// possibleContents are what a file may hold after a power loss.
 func (n *inode) possibleContents() [][]byte {
 	out := [][]byte{n.synced}
 	if string(n.current) == string(n.synced) {
@@ -209,7 +209,7 @@
 	return out
 }
 
-// disks calls visit with every disk that may be there after power was lost now.
+// forEachPossibleDisk calls visit with every disk that may be left by a power loss now.
 func (f *faultyFileSystem) forEachPossibleDisk(visit func(name string, disk *faultyFileSystem)) {
 	for set := range 1 << len(f.changes) {
 		names := make(map[string]*inode, len(f.durable))
@@ -228,13 +228,13 @@
 		slices.Sort(paths)
 		chooseContents(paths, names, nil, func(contents [][]byte) {
 			disk := newFaultyFileSystem()
-			var told strings.Builder
+			var description strings.Builder
 			for i, path := range paths {
 				node := &inode{contents[i], contents[i]}
 				disk.names[path], disk.durable[path] = node, node
-				fmt.Fprintf(&told, " %s:%d", path, len(contents[i]))
+				fmt.Fprintf(&description, " %s:%d", path, len(contents[i]))
 			}
-			visit(fmt.Sprintf("names %b,%s", set, told.String()), disk)
+			visit(fmt.Sprintf("names %b,%s", set, description.String()), disk)
 		})
 	}
 }
--- a/daemon/storage/files.go
+++ b/daemon/storage/file_system.go
@@ -1,5 +1,3 @@
-// The file system, behind an interface that tests can put faults into.
-
 package storage
 
 import (
@@ -11,20 +9,21 @@
 	"time"
 )
 
-// fileSystem is what the store needs of one; tests put faults into another.
+// fileSystem is what the store needs of a file system. Tests inject faults by another
+// implementation.
 type fileSystem interface {
-	// MakeFolder makes the folder and those above it, each synced into its parent.
+	// MakeDir creates a directory and its parents, each synced in its own parent.
 	MakeDir(dir string) error
-	// Lock keeps other processes out until it is closed.
+	// Lock locks a directory against other processes until the result is closed.
 	Lock(dir string) (io.Closer, error)
 	List(dir string) ([]string, error)
 	Read(path string) ([]byte, error)
-	// Create makes an empty file; Open takes one that is there.
+	// Create creates an empty file or truncates one; Open opens an existing file.
 	Create(path string) (file, error)
 	Open(path string) (file, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes the names in a folder last.
+	// SyncDir makes the names in a directory durable.
 	SyncDir(dir string) error
 }
 
@@ -35,16 +34,13 @@
 	Sync() error
 }
 
-// diskFull says whether an error means that there is no room, which may pass.
-func diskFull(err error) bool {
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
-}
-
+// osFileSystem is the file system of the operating system.
 type osFileSystem struct{}
 
+// osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
-// Sync makes the data last, and of what describes it only what reading needs.
+// Sync makes the data durable, and of the metadata only what is needed to read it.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
@@ -71,7 +67,7 @@
 }
 
 const (
-	lockFileName      = "lock"
+	// lockTimeout is how long a new process waits for the one it replaces.
 	lockTimeout       = time.Second
 	lockRetryInterval = 20 * time.Millisecond
 )
--- a/daemon/storage/frame.go
+++ b/daemon/storage/frame.go
@@ -1,5 +1,3 @@
-// Frames, which files are made of.
-
 package storage
 
 import (
@@ -8,24 +6,30 @@
 	"hash/crc32"
 )
 
-// A frame is what a file is made of: a magic number, the length of the payload, a
-// checksum of all that follows it, a kind, and the payload.
+// All files consist of frames. A frame is a magic number, the length of the payload in
+// four bytes, a checksum of all that follows the magic number in four bytes, the kind in
+// one byte, and the payload.
 const (
-	frameHeaderSize = 13
-	// frameMagic has bytes that no JSON text has, so that a payload never looks
-	// like the start of a frame.
+	// frameMagic contains bytes that JSON text never does, so that no payload looks like
+	// the start of a frame.
 	frameMagic = "\x1fSL\x01"
+
+	lengthOffset    = len(frameMagic)
+	checksumOffset  = lengthOffset + 4
+	kindOffset      = checksumOffset + 4
+	frameHeaderSize = kindOffset + 1
 )
 
+// frameKind says what a frame holds.
 type frameKind byte
 
 const (
-	// kindHead begins a file and says its number.
-	frameHeader frameKind = 'h'
-	// kindItems holds records and commands.
-	frameItems frameKind = 'i'
-	// kindFoot ends a snapshot and says how many items it has.
-	frameFooter frameKind = 'f'
+	// kindHeader begins each file and holds its number.
+	kindHeader frameKind = 'h'
+	// kindItems holds records or commands.
+	kindItems frameKind = 'i'
+	// kindFooter ends a snapshot and holds the number of its items.
+	kindFooter frameKind = 'f'
 )
 
 type frame struct {
@@ -33,6 +37,11 @@
 	payload []byte
 }
 
+// headerFrame returns the encoded first frame of the file with a number.
+func headerFrame(number uint64) []byte {
+	return appendFrame(nil, frame{kindHeader, binary.AppendUvarint(nil, number)})
+}
+
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func appendFrame(out []byte, f frame) []byte {
@@ -41,45 +50,47 @@
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(f.payload)))
 	out = append(out, 0, 0, 0, 0, byte(f.kind))
 	out = append(out, f.payload...)
-	binary.LittleEndian.PutUint32(out[start+8:], checksum(out[start:]))
+	binary.LittleEndian.PutUint32(out[start+checksumOffset:], checksum(out[start:]))
 	return out
 }
 
-// checksum covers the length, the kind and the payload of a whole frame.
-func checksum(whole []byte) uint32 {
-	sum := crc32.Update(0, castagnoli, whole[4:8])
-	return crc32.Update(sum, castagnoli, whole[12:])
+// checksum covers the length, the kind and the payload of an encoded frame.
+func checksum(encoded []byte) uint32 {
+	sum := crc32.Update(0, castagnoli, encoded[lengthOffset:checksumOffset])
+	return crc32.Update(sum, castagnoli, encoded[kindOffset:])
 }
 
-// readFrame gives the frame at the start of the data and its length, if it is whole.
+// readFrame returns the frame at the start of the data and its encoded length, if it is
+// whole. The payload shares memory with the data.
 func readFrame(data []byte) (f frame, length int, ok bool) {
-	if len(data) < frameHeaderSize || string(data[:4]) != frameMagic {
+	if len(data) < frameHeaderSize || string(data[:lengthOffset]) != frameMagic {
 		return frame{}, 0, false
 	}
-	payload := int64(binary.LittleEndian.Uint32(data[4:]))
-	if payload > int64(len(data)-frameHeaderSize) {
+	payloadLength := int64(binary.LittleEndian.Uint32(data[lengthOffset:]))
+	if payloadLength > int64(len(data)-frameHeaderSize) {
 		return frame{}, 0, false
 	}
-	whole := data[:frameHeaderSize+int(payload)]
-	if binary.LittleEndian.Uint32(data[8:]) != checksum(whole) {
+	encoded := data[:frameHeaderSize+int(payloadLength)]
+	if binary.LittleEndian.Uint32(data[checksumOffset:]) != checksum(encoded) {
 		return frame{}, 0, false
 	}
-	return frame{frameKind(data[12]), whole[frameHeaderSize:]}, len(whole), true
+	return frame{frameKind(data[kindOffset]), encoded[frameHeaderSize:]}, len(encoded), true
 }
 
-// readFrames gives all frames up to the first place that is none, and where that is.
-func readFrames(data []byte) (frames []frame, good int) {
+// readFrames returns all whole frames up to the first position where none begins, and
+// that position.
+func readFrames(data []byte) (frames []frame, end int) {
 	for {
-		f, length, ok := readFrame(data[good:])
+		f, length, ok := readFrame(data[end:])
 		if !ok {
-			return frames, good
+			return frames, end
 		}
 		frames = append(frames, f)
-		good += length
+		end += length
 	}
 }
 
-// holdsFrame says whether a whole frame begins anywhere in the data.
+// containsFrame reports whether a whole frame begins anywhere in the data.
 func containsFrame(data []byte) bool {
 	for offset := 0; ; offset++ {
 		next := bytes.Index(data[offset:], []byte(frameMagic))
--- a/daemon/storage/item.go
+++ b/daemon/storage/item.go
@@ -1,73 +1,114 @@
-// Items, which the frames of snapshots and segments hold.
-
 package storage
 
 import (
 	"encoding/binary"
 	"encoding/json"
+	"errors"
 	"fmt"
 
 	"sorrelloom/core/machine"
 )
 
-// itemKind says what an item of a frame is.
+// itemKind says what an item is.
 type itemKind byte
 
 const (
-	// itemOwn is a record of the keeper itself; the newest of a key stands.
+	// itemReplicaRecord is a record of the replica itself; the newest of a key counts.
 	itemReplicaRecord itemKind = 'o'
-	// itemLedger is a record of the ledger, in snapshots only.
+	// itemStateRecord is a record of the replicated state, in snapshots only.
 	itemStateRecord itemKind = 'l'
-	// itemCommand is a command of the ledger, in segments only.
+	// itemCommand is a command of the log, in segments only.
 	itemCommand itemKind = 'c'
-	// itemDrop takes back so many of the commands before it.
+	// itemTruncate removes a number of the commands before it, in segments only.
 	itemTruncate itemKind = 'd'
 )
 
+// item is one of the parts of an item frame's payload. It is encoded as its kind in one
+// byte, the length of its data as a varint, and the data.
 type item struct {
 	kind itemKind
 	data []byte
 }
 
-func recordItem(kind itemKind, r machine.Record) item { return item{kind, machine.MustJSON(r)} }
-
-func appendItem(out []byte, i item) []byte {
-	out = append(out, byte(i.kind))
-	out = binary.AppendUvarint(out, uint64(len(i.data)))
-	return append(out, i.data...)
+func recordItem(kind itemKind, record machine.Record) item {
+	return item{kind, machine.MustJSON(record)}
 }
 
 func truncateItem(count int) item {
 	return item{itemTruncate, binary.AppendUvarint(nil, uint64(count))}
 }
 
-// drop takes the last commands away, as many as the item says.
-func (i item) truncate(commands []json.RawMessage) ([]json.RawMessage, error) {
-	count, n := binary.Uvarint(i.data)
-	if n <= 0 || count > uint64(len(commands)) {
-		return nil, fmt.Errorf("it drops %d commands of %d", count, len(commands))
-	}
-	return commands[:len(commands)-int(count)], nil
+func appendItem(out []byte, i item) []byte {
+	out = append(out, byte(i.kind))
+	out = binary.AppendUvarint(out, uint64(len(i.data)))
+	return append(out, i.data...)
 }
 
-// readItems takes the payload of a frame apart. The items share its data.
+// readItems splits the payload of a frame. The items share memory with it.
 func readItems(payload []byte) ([]item, error) {
-	var out []item
+	var items []item
 	for len(payload) > 0 {
 		kind := itemKind(payload[0])
 		length, n := binary.Uvarint(payload[1:])
 		if n <= 0 || length > uint64(len(payload)-1-n) {
-			return nil, fmt.Errorf("an item is longer than its frame")
+			return nil, errors.New("an item is longer than its frame")
 		}
 		rest := payload[1+n:]
-		out = append(out, item{kind, rest[:length:length]})
+		items = append(items, item{kind, rest[:length:length]})
 		payload = rest[length:]
 	}
-	return out, nil
+	return items, nil
+}
+
+// readAllItems returns the items of all item frames.
+func readAllItems(frames []frame) ([]item, error) {
+	var all []item
+	for _, f := range frames {
+		if f.kind != kindItems {
+			continue
+		}
+		items, err := readItems(f.payload)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, items...)
+	}
+	return all, nil
 }
 
+// record decodes a record.
 func (i item) record() (machine.Record, error) {
-	var r machine.Record
-	err := json.Unmarshal(i.data, &r)
-	return r, err
+	var record machine.Record
+	err := json.Unmarshal(i.data, &record)
+	return record, err
+}
+
+// truncate removes as many of the last commands as the item says.
+func (i item) truncate(commands []json.RawMessage) ([]json.RawMessage, error) {
+	count, n := binary.Uvarint(i.data)
+	if n <= 0 || count > uint64(len(commands)) {
+		return nil, fmt.Errorf("%d commands are truncated of %d", count, len(commands))
+	}
+	return commands[:len(commands)-int(count)], nil
+}
+
+// replayCommands applies the items of a segment to the commands before it. Items that
+// concern no commands are passed to other.
+func replayCommands(
+	items []item, commands []json.RawMessage, other func(item) error,
+) (_ []json.RawMessage, err error) {
+	for _, i := range items {
+		switch i.kind {
+		case itemCommand:
+			commands = append(commands, i.data)
+		case itemTruncate:
+			commands, err = i.truncate(commands)
+		default:
+			err = other(i)
+		}
+		if err != nil {
+			return nil, err
+		}
+	}
+	return commands, nil
 }
--- a/daemon/storage/power_test.go
+++ b/daemon/storage/power_loss_test.go
@@ -1,6 +1,3 @@
-// Power is lost at every call to the file system, with every disk that may then be
-// there. What was reported must be found again, and what was not may be.
-
 package storage
 
 import (
@@ -17,7 +14,7 @@
 	"sorrelloom/core/machine"
 )
 
-// told says what is stored, in one line.
+// describe returns the stored state as one line.
 func describe(s machine.StoredState) string {
 	out := ""
 	for _, r := range s.Records {
@@ -30,13 +27,13 @@
 	return out
 }
 
-// ledgerOf is a snapshot with one record.
+// snapshotOf is a snapshot with one record.
 func snapshotOf(value string) iter.Seq[machine.Record] {
 	return slices.Values([]machine.Record{record("job", "a", value)})
 }
 
-// script has an identity, commands, a snapshot beside the log, commands, the keeper's
-// own records, another snapshot, and the state of another history.
+// script writes an identity, commands, a snapshot in the background, commands, records of
+// the replica, another snapshot, truncations, and the state of another history.
 func script() []machine.Write {
 	return []machine.Write{
 		{ID: 1, Records: []machine.Record{record("keeper", "identity", `"k"`)}},
@@ -62,41 +59,41 @@
 	return out
 }
 
-// model is the same script on a disk in memory that never fails. Of a snapshot beside
-// the log either may be found: the snapshot, or the commands that led up to it.
+// modelStates are the states that may be found after the writes. After a snapshot in the
+// background either the snapshot is found, or the commands that led up to it.
 func modelStates(writes []machine.Write) map[string]bool {
-	var own []machine.Record
-	type form struct {
-		ledger   []machine.Record
+	var replicaRecords []machine.Record
+	type variant struct {
+		snapshot []machine.Record
 		commands []json.RawMessage
 	}
-	forms := []form{{}}
+	variants := []variant{{}}
 	for _, w := range writes {
 		for _, r := range w.Records {
-			own = slices.DeleteFunc(own, func(o machine.Record) bool { return o.Key == r.Key })
-			own = append(own, r)
+			replicaRecords = slices.DeleteFunc(replicaRecords, func(o machine.Record) bool { return o.Key == r.Key })
+			replicaRecords = append(replicaRecords, r)
 		}
 		if w.ReplaceLog {
-			forms = []form{{ledger: slices.Collect(w.Snapshot)}}
+			variants = []variant{{snapshot: slices.Collect(w.Snapshot)}}
 			continue
 		}
-		for i := range forms {
-			kept := forms[i].commands[:len(forms[i].commands)-w.TruncateCount]
-			forms[i].commands = append(slices.Clone(kept), w.Commands...)
+		for i := range variants {
+			kept := variants[i].commands[:len(variants[i].commands)-w.TruncateCount]
+			variants[i].commands = append(slices.Clone(kept), w.Commands...)
 		}
 		if w.Snapshot != nil {
-			forms = append(forms, form{ledger: slices.Collect(w.Snapshot)})
+			variants = append(variants, variant{snapshot: slices.Collect(w.Snapshot)})
 		}
 	}
-	slices.SortFunc(own, func(a, b machine.Record) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(replicaRecords, func(a, b machine.Record) int { return strings.Compare(a.Key, b.Key) })
 	out := map[string]bool{}
-	for _, f := range forms {
-		out[describe(machine.StoredState{Records: slices.Concat(own, f.ledger), Commands: f.commands})] = true
+	for _, f := range variants {
+		out[describe(machine.StoredState{Records: slices.Concat(replicaRecords, f.snapshot), Commands: f.commands})] = true
 	}
 	return out
 }
 
-// runUntilPowerIsLost plays the script and gives how many batches were reported.
+// runUntilPowerLoss does the writes and returns how many were reported as written.
 func runUntilPowerLoss(files *faultyFileSystem, writes []machine.Write) (reported int) {
 	s, _, err := open(files, "d")
 	if err != nil {
@@ -114,31 +111,34 @@
 	return reported
 }
 
-func TestPowerIsLostAtAnyCall(t *testing.T) {
+// TestPowerLossAtEveryCall loses power at every call to the file system, with every disk
+// that may then be left. What was reported as written must be found; the batch that was
+// being written may be.
+func TestPowerLossAtEveryCall(t *testing.T) {
 	writes := script()
-	tried := 0
+	disks := 0
 	for limit := 1; ; limit++ {
 		files := newFaultyFileSystem()
 		files.failAtCall = limit
 		reported := runUntilPowerLoss(files, writes)
 		files.forEachPossibleDisk(func(name string, disk *faultyFileSystem) {
-			tried++
+			disks++
 			checkDisk(t, fmt.Sprintf("call %d, %d reported, %s", limit, reported, name), disk, writes, reported)
 		})
 		if t.Failed() || reported == len(writes) && files.calls < limit {
 			break
 		}
 	}
-	t.Logf("%d disks", tried)
+	t.Logf("%d disks", disks)
 }
 
-// checkDisk opens a disk, wants what was reported, and writes on.
+// checkDisk opens a disk, expects what was reported as written, and continues to write.
 func checkDisk(t *testing.T, name string, disk *faultyFileSystem, writes []machine.Write, reported int) {
 	t.Helper()
 	want := modelStates(writes[:reported])
 	if reported < len(writes) {
-		for form := range modelStates(writes[:reported+1]) {
-			want[form] = true
+		for state := range modelStates(writes[:reported+1]) {
+			want[state] = true
 		}
 	}
 	s, stored, err := open(disk, "d")
@@ -149,8 +149,8 @@
 	if got := describe(stored); !want[got] {
 		t.Errorf("%s: found %s, want one of %v", name, got, want)
 	}
-	// What was found is promised, so power lost again at once must not take it, nor what
-	// is reported from now on. The snapshot that is begun never comes to its end.
+	// The replica relies on what it has found, so another power loss must not lose it, nor
+	// what is reported from now on. The snapshot that is begun is never completed.
 	checkAllDisks(t, name, disk, stored)
 	s.pause = func(time.Duration) bool { return false }
 	for i, w := range []machine.Write{
@@ -166,7 +166,7 @@
 	}
 }
 
-// wantEverywhere wants the same on every disk that may be there after a loss of power.
+// checkAllDisks expects the same state on every disk that may be left by a power loss.
 func checkAllDisks(t *testing.T, name string, disk *faultyFileSystem, want machine.StoredState) {
 	t.Helper()
 	disk.forEachPossibleDisk(func(again string, lost *faultyFileSystem) {
@@ -181,9 +181,9 @@
 	})
 }
 
-// TestAProcessEndsThenPowerIsLost has another process go on with what the ended one
-// has left in the memory of the machine, and only then loses power.
-func TestAProcessEndsThenPowerIsLost(t *testing.T) {
+// TestPowerLossAfterProcessRestart has another process continue with what the previous one
+// has left in the page cache, and only then loses power.
+func TestPowerLossAfterProcessRestart(t *testing.T) {
 	writes := script()
 	for limit := 1; ; limit++ {
 		files := newFaultyFileSystem()
--- /dev/null
+++ b/daemon/storage/recovery.go
@@ -0,0 +1,247 @@
+package storage
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+
+	"sorrelloom/core/machine"
+)
+
+// recover reads the directory and prepares it for writing.
+func (s *Store) recover() (machine.StoredState, error) {
+	names, err := s.fileSystem.List(s.dir)
+	if err != nil {
+		return machine.StoredState{}, unusable(s.dir, err)
+	}
+	if slices.Contains(names, legacyFileName) {
+		return machine.StoredState{}, unusable(s.path(legacyFileName), errors.New("it is of an earlier release; "+
+			"with an empty data directory this replica joins the others as a new one"))
+	}
+	if slices.Contains(names, temporarySnapshotName) {
+		if err := s.removeIfExists(temporarySnapshotName); err != nil {
+			return machine.StoredState{}, unusable(s.path(temporarySnapshotName), err)
+		}
+	}
+	snapshots, segments := numbersWithPrefix(names, snapshotPrefix), numbersWithPrefix(names, segmentPrefix)
+	if len(snapshots) == 0 {
+		return machine.StoredState{}, s.initialize(segments)
+	}
+	return s.load(snapshots[len(snapshots)-1], segments)
+}
+
+// initialize creates the first segment and an empty first snapshot. A power loss during
+// an earlier attempt may have left a segment without a batch. A segment with batches and
+// no snapshot is not taken for an empty directory: the replica would break its promises.
+func (s *Store) initialize(segments []uint64) error {
+	for _, number := range segments {
+		path := s.path(segmentName(number))
+		data, err := s.fileSystem.Read(path)
+		if err != nil {
+			return unusable(path, err)
+		}
+		if frames, end := readFrames(data); number > 1 || len(frames) > 1 || containsFrame(data[end:]) {
+			return corrupted(path, errors.New("it has batches, but there is no snapshot"))
+		}
+	}
+	first, err := s.createSegment(1)
+	if err != nil {
+		return unusable(s.path(segmentName(1)), err)
+	}
+	s.switchSegment(first)
+	noRecords := func(func(machine.Record) bool) {}
+	if _, err := s.writeSnapshot(1, nil, noRecords, noPause); err != nil {
+		first.file.Close()
+		return unusable(s.path(snapshotName(1)), err)
+	}
+	return nil
+}
+
+// load reads a snapshot and the segments from its number on, and opens the last of them
+// for writing.
+func (s *Store) load(snapshot uint64, segments []uint64) (machine.StoredState, error) {
+	var stored machine.StoredState
+	stateRecords, err := s.loadSnapshot(snapshot)
+	if err != nil {
+		return stored, err
+	}
+	last := snapshot
+	if len(segments) > 0 {
+		last = max(last, segments[len(segments)-1])
+	}
+	for number := snapshot; number <= last; number++ {
+		items, err := s.loadSegment(number, number == last)
+		if err != nil {
+			return stored, err
+		}
+		stored.Commands, err = replayCommands(items, stored.Commands, s.replayReplicaRecord)
+		if err != nil {
+			return stored, corrupted(s.path(segmentName(number)), err)
+		}
+	}
+	stored.Records = append(s.replicaRecords.sorted(), stateRecords...)
+	if slices.Contains(segments, snapshot-1) {
+		stored.CommandsBeforeSnapshot = s.loadCommandsBeforeSnapshot(snapshot - 1)
+	}
+	// The process before may have ended after a rename and before the directory was synced.
+	if err := s.fileSystem.SyncDir(s.dir); err != nil {
+		return stored, unusable(s.dir, err)
+	}
+	if err := s.removeObsolete(snapshot); err != nil {
+		return stored, unusable(s.dir, err)
+	}
+	return stored, nil
+}
+
+// loadSnapshot returns the records of the state and keeps those of the replica.
+func (s *Store) loadSnapshot(number uint64) ([]machine.Record, error) {
+	path := s.path(snapshotName(number))
+	data, err := s.fileSystem.Read(path)
+	if err != nil {
+		return nil, unusable(path, err)
+	}
+	stateRecords, err := s.decodeSnapshot(number, data)
+	if err != nil {
+		return nil, corrupted(path, err)
+	}
+	s.snapshot.number, s.snapshot.size = number, int64(len(data))
+	return stateRecords, nil
+}
+
+func (s *Store) decodeSnapshot(number uint64, data []byte) ([]machine.Record, error) {
+	frames, end := readFrames(data)
+	if err := checkSnapshot(number, frames, len(data)-end); err != nil {
+		return nil, err
+	}
+	var stateRecords []machine.Record
+	var count uint64
+	for _, f := range frames[1 : len(frames)-1] {
+		items, err := readItems(f.payload)
+		if err != nil {
+			return nil, err
+		}
+		for _, i := range items {
+			record, err := i.record()
+			if err != nil {
+				return nil, err
+			}
+			count++
+			if i.kind == itemReplicaRecord {
+				s.replicaRecords.put([]machine.Record{record})
+			} else {
+				stateRecords = append(stateRecords, record)
+			}
+		}
+	}
+	if want, _ := binary.Uvarint(frames[len(frames)-1].payload); want != count {
+		return nil, fmt.Errorf("it has %d items, and its footer says %d", count, want)
+	}
+	return stateRecords, nil
+}
+
+func checkSnapshot(number uint64, frames []frame, bytesAfterFrames int) error {
+	if err := checkHeader(number, frames); err != nil {
+		return err
+	}
+	if bytesAfterFrames > 0 || frames[len(frames)-1].kind != kindFooter {
+		return errors.New("it is truncated, or has other data behind its footer")
+	}
+	return nil
+}
+
+func checkHeader(number uint64, frames []frame) error {
+	if len(frames) == 0 || frames[0].kind != kindHeader {
+		return errors.New("it has no header")
+	}
+	if got, _ := binary.Uvarint(frames[0].payload); got != number {
+		return fmt.Errorf("its header says that it is number %d", got)
+	}
+	return nil
+}
+
+// loadSegment returns the items of a segment. Only the last segment may end in a torn
+// frame: all others were complete before the next one was created. A torn frame that a
+// whole one follows is damage, since a batch is only written once the one before it is
+// durable.
+func (s *Store) loadSegment(number uint64, isLast bool) ([]item, error) {
+	path := s.path(segmentName(number))
+	data, err := s.fileSystem.Read(path)
+	if err != nil {
+		return nil, corrupted(path, err)
+	}
+	frames, end := readFrames(data)
+	torn := data[end:]
+	if len(torn) > 0 && (!isLast || containsFrame(torn)) {
+		return nil, corrupted(path, fmt.Errorf("no whole frame begins at byte %d", end))
+	}
+	if len(frames) > 0 || !isLast {
+		if err := checkHeader(number, frames); err != nil {
+			return nil, corrupted(path, err)
+		}
+	}
+	items, err := readAllItems(frames)
+	if err != nil {
+		return nil, corrupted(path, err)
+	}
+	s.bytesSinceSnapshot += int64(end)
+	if isLast {
+		err = s.continueSegment(number, int64(end))
+	}
+	return items, err
+}
+
+// continueSegment opens the last segment and removes what follows its last whole frame.
+// A segment without even its header is created again.
+func (s *Store) continueSegment(number uint64, end int64) error {
+	path := s.path(segmentName(number))
+	if end == 0 {
+		created, err := s.createSegment(number)
+		if err != nil {
+			return unusable(path, err)
+		}
+		s.segment = created
+		return nil
+	}
+	opened, err := s.fileSystem.Open(path)
+	if err != nil {
+		return unusable(path, err)
+	}
+	if err = opened.Truncate(end); err == nil {
+		err = opened.Sync()
+	}
+	if err != nil {
+		opened.Close()
+		return unusable(path, err)
+	}
+	s.segment = segment{number, opened, end}
+	return nil
+}
+
+func (s *Store) replayReplicaRecord(i item) error {
+	record, err := i.record()
+	if err == nil {
+		s.replicaRecords.put([]machine.Record{record})
+	}
+	return err
+}
+
+// loadCommandsBeforeSnapshot returns the commands of the segment before the snapshot, or
+// none if it is damaged: nothing depends on them.
+func (s *Store) loadCommandsBeforeSnapshot(number uint64) []json.RawMessage {
+	data, err := s.fileSystem.Read(s.path(segmentName(number)))
+	if err != nil {
+		return nil
+	}
+	frames, end := readFrames(data)
+	items, err := readAllItems(frames)
+	if err != nil || end < len(data) {
+		return nil
+	}
+	commands, err := replayCommands(items, nil, func(item) error { return nil })
+	if err != nil {
+		return nil
+	}
+	return commands
+}
--- a/daemon/storage/snapshot.go
+++ b/daemon/storage/snapshot.go
@@ -1,5 +1,3 @@
-// Writing snapshots, and removing what they stand for.
-
 package storage
 
 import (
@@ -13,23 +11,19 @@
 )
 
 const (
-	// pieceMin is how much of a snapshot is encoded at a time, at least.
+	// minChunkSize is how many bytes of a snapshot are encoded and written at a time, at least.
 	minChunkSize = 64 << 10
-	// piecePause leaves the processor and the disk to the log between two pieces.
+	// chunkPause leaves the processor and the disk to the log between two chunks.
 	chunkPause = 5 * time.Millisecond
 )
 
-func headerFrame(number uint64) []byte {
-	return appendFrame(nil, frame{frameHeader, binary.AppendUvarint(nil, number)})
-}
-
-// snapshotWriter writes a snapshot in pieces.
+// snapshotWriter writes a snapshot in chunks.
 type snapshotWriter struct {
 	file      file
 	end       int64
 	itemCount uint64
 	chunk     []byte
-	// between is called between two pieces and may end the writing.
+	// afterChunk is called after each chunk; an error ends the writing.
 	afterChunk func() error
 }
 
@@ -40,9 +34,11 @@
 	return err
 }
 
+// add adds an item to the chunk, and writes the chunk once it is large enough.
 func (w *snapshotWriter) add(i item) error {
 	w.itemCount++
-	if w.chunk = appendItem(w.chunk, i); len(w.chunk) < minChunkSize {
+	w.chunk = appendItem(w.chunk, i)
+	if len(w.chunk) < minChunkSize {
 		return nil
 	}
 	return w.flush()
@@ -52,7 +48,7 @@
 	if len(w.chunk) == 0 {
 		return nil
 	}
-	err := w.writeFrame(frame{frameItems, w.chunk})
+	err := w.writeFrame(frame{kindItems, w.chunk})
 	w.chunk = w.chunk[:0]
 	if err != nil {
 		return err
@@ -60,45 +56,53 @@
 	return w.afterChunk()
 }
 
-// writeAll writes all items and the foot, and syncs the file.
-func (w *snapshotWriter) writeAll(own []item, records iter.Seq[machine.Record]) error {
-	for _, i := range own {
+// writeAll writes the header, all items and the footer, and syncs the file.
+func (w *snapshotWriter) writeAll(number uint64, replicaItems []item, stateRecords iter.Seq[machine.Record]) error {
+	if err := w.writeFrame(frame{kindHeader, binary.AppendUvarint(nil, number)}); err != nil {
+		return err
+	}
+	for _, i := range replicaItems {
 		if err := w.add(i); err != nil {
 			return err
 		}
 	}
-	for r := range records {
-		if err := w.add(recordItem(itemStateRecord, r)); err != nil {
+	for record := range stateRecords {
+		if err := w.add(recordItem(itemStateRecord, record)); err != nil {
 			return err
 		}
 	}
 	if err := w.flush(); err != nil {
 		return err
 	}
-	if err := w.writeFrame(frame{frameFooter, binary.AppendUvarint(nil, w.itemCount)}); err != nil {
+	if err := w.writeFrame(frame{kindFooter, binary.AppendUvarint(nil, w.itemCount)}); err != nil {
 		return err
 	}
 	return w.file.Sync()
 }
 
-// writeSnapshot makes a snapshot last, with pauses if the log goes on meanwhile, and
-// removes what it stands for. It gives the size of the file.
-func (s *Store) writeSnapshot(number uint64, own []item, records iter.Seq[machine.Record], inBackground bool) (int64, error) {
+func (s *Store) pauseBetweenChunks() error {
+	if !s.pause(chunkPause) {
+		return ErrClosed
+	}
+	return nil
+}
+
+func noPause() error { return nil }
+
+// writeSnapshot makes a snapshot durable, removes the files that it makes obsolete, and
+// returns its size. A snapshot gets its name only when it is complete, so that a file of
+// that name is either whole or damaged.
+func (s *Store) writeSnapshot(
+	number uint64, replicaItems []item, stateRecords iter.Seq[machine.Record], afterChunk func() error,
+) (size int64, err error) {
 	temporary := s.path(temporarySnapshotName)
-	f, err := s.fileSystem.Create(temporary)
+	created, err := s.fileSystem.Create(temporary)
 	if err != nil {
 		return 0, err
 	}
-	w := &snapshotWriter{file: f, afterChunk: func() error {
-		if inBackground && !s.pause(chunkPause) {
-			return errClosed
-		}
-		return nil
-	}}
-	if err = w.writeFrame(frame{frameHeader, binary.AppendUvarint(nil, number)}); err == nil {
-		err = w.writeAll(own, records)
-	}
-	if err = errors.Join(err, f.Close()); err != nil {
+	writer := &snapshotWriter{file: created, afterChunk: afterChunk}
+	err = writer.writeAll(number, replicaItems, stateRecords)
+	if err = errors.Join(err, created.Close()); err != nil {
 		return 0, errors.Join(err, s.removeIfExists(temporarySnapshotName))
 	}
 	if err := s.fileSystem.Rename(temporary, s.path(snapshotName(number))); err != nil {
@@ -107,24 +111,25 @@
 	if err := s.fileSystem.SyncDir(s.dir); err != nil {
 		return 0, err
 	}
-	return w.end, s.removeObsolete(number)
+	return writer.end, s.removeObsolete(number)
 }
 
-// removeBefore removes what a lasting snapshot stands for. The segment that leads up
-// to it stays: its commands bring on others that are a little behind.
-func (s *Store) removeObsolete(number uint64) error {
+// removeObsolete removes the files that a durable snapshot replaces. The segment that
+// leads up to the snapshot stays: its commands bring replicas up to date that are a
+// little behind.
+func (s *Store) removeObsolete(snapshot uint64) error {
 	names, err := s.fileSystem.List(s.dir)
 	if err != nil {
 		return err
 	}
-	for _, n := range numbersWithPrefix(names, snapshotPrefix) {
-		if n < number {
-			err = errors.Join(err, s.removeIfExists(snapshotName(n)))
+	for _, number := range numbersWithPrefix(names, snapshotPrefix) {
+		if number < snapshot {
+			err = errors.Join(err, s.removeIfExists(snapshotName(number)))
 		}
 	}
-	for _, n := range numbersWithPrefix(names, segmentPrefix) {
-		if n+1 < number {
-			err = errors.Join(err, s.removeIfExists(segmentName(n)))
+	for _, number := range numbersWithPrefix(names, segmentPrefix) {
+		if number+1 < snapshot {
+			err = errors.Join(err, s.removeIfExists(segmentName(number)))
 		}
 	}
 	return err
