--- /dev/null
+++ b/core/membership/gossiper.go
@@ -0,0 +1,182 @@
+// Package membership lets processes find one another by gossip. Each keeps a
+// partial view of the others, bounded per role and zone, and exchanges a sample of
+// it with a random neighbour at every interval (a shuffle). An entry that its node
+// does not refresh expires and leaves a tombstone, so that it does not return by
+// hearsay; a node that comes back at another address replaces its old entry.
+//
+// The view is eventually consistent and a hint only: who leads and who votes is
+// decided elsewhere.
+package membership
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
+)
+
+const (
+	// shuffleInterval is the time between two exchanges that a node begins.
+	shuffleInterval = 300 * time.Millisecond
+	// shuffleSize is how many entries are sent in one exchange, beside the node itself.
+	shuffleSize = 8
+	// replicasFirst is how many replicas lead every sample: a new node is of no use
+	// until it knows one.
+	replicasFirst = 2
+	// minNeighbours is the number of known nodes below which a seed is a candidate
+	// in every exchange.
+	minNeighbours = 2
+	// seedEvery is after how many exchanges a seed is a candidate all the same, so
+	// that two partitions of the gossip find each other again.
+	seedEvery = 10
+	// rngStream separates this package's random numbers from others of the same seed.
+	rngStream = 1
+
+	// roleReplica is the role by which replicas appear in node lists.
+	roleReplica = "keeper"
+)
+
+// Config is what a Gossiper starts with.
+type Config struct {
+	// Self is the entry of this node.
+	Self wire.Node
+	// Seeds are the addresses that it asks first.
+	Seeds []string
+	// Seed is the seed of its random choices.
+	Seed uint64
+}
+
+// Gossiper keeps the partial view of one node; it is a machine.Machine. It sends its
+// own process the list of known nodes as a message to the empty address.
+type Gossiper struct {
+	self  wire.Node
+	seeds []string
+	rng   *rand.Rand
+	view  partialView
+
+	nextShuffle time.Duration
+	// withoutReplica says that the list last sent to the own process named no replica.
+	withoutReplica bool
+}
+
+// New returns a Gossiper that knows only itself.
+func New(config Config) *Gossiper {
+	return &Gossiper{
+		self:  config.Self,
+		seeds: config.Seeds,
+		rng:   rand.New(rand.NewPCG(config.Seed, rngStream)),
+		view:  partialView{entries: map[string]entry{}, tombstones: map[string]entry{}},
+	}
+}
+
+// NextTimer returns when the next exchange is due.
+func (g *Gossiper) NextTimer() time.Duration { return g.nextShuffle }
+
+// Nodes returns this node and all that it knows of, sorted by ID.
+func (g *Gossiper) Nodes() []wire.Node {
+	nodes := g.view.appendNodes([]wire.Node{g.self})
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].ID < nodes[j].ID })
+	return nodes
+}
+
+// Step handles a message of another node, and begins an exchange when one is due.
+func (g *Gossiper) Step(now time.Duration, in machine.Input) machine.Output {
+	var out machine.Output
+	switch in.Message.Kind {
+	case wire.KindShuffle, wire.KindShuffleReply:
+		if !g.handleShuffle(now, in.Message, &out) {
+			return out
+		}
+	}
+	if now >= g.nextShuffle {
+		g.nextShuffle = now + shuffleInterval
+		g.shuffle(now, &out)
+	}
+	return out
+}
+
+// handleShuffle merges the entries of a message, after answering it with a sample
+// if it is a request. It reports whether the message could be read.
+func (g *Gossiper) handleShuffle(now time.Duration, message machine.Message, out *machine.Output) bool {
+	var gossip wire.Gossip
+	if err := machine.Unmarshal(message.Body, &gossip); err != nil {
+		out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+		return false
+	}
+	if message.Kind == wire.KindShuffle {
+		out.Send(message.From, wire.KindShuffleReply, wire.Gossip{Nodes: g.sample()})
+	}
+	for i, node := range gossip.Nodes {
+		g.merge(now, node, i == 0 && node.Address == message.From)
+	}
+	if g.withoutReplica && g.view.replicaCount() > 0 {
+		g.withoutReplica = false
+		g.publishNodes(out)
+	}
+	return true
+}
+
+// shuffle begins an exchange with a random neighbour and publishes the node list.
+func (g *Gossiper) shuffle(now time.Duration, out *machine.Output) {
+	g.self.Version++
+	g.view.expire(now, out)
+	addresses := g.view.addresses()
+	g.withoutReplica = g.view.replicaCount() == 0
+	count := uint64(len(g.seeds))
+	switch {
+	case count == 0:
+	case g.withoutReplica:
+		// Without a replica there is no state to read: the seeds are asked in turn.
+		g.sendShuffle(g.seeds[g.self.Version%count], out)
+	case len(addresses) < minNeighbours || g.self.Version%seedEvery == 0:
+		addresses = append(addresses, g.seeds[g.rng.IntN(len(g.seeds))])
+	}
+	if len(addresses) > 0 {
+		g.sendShuffle(addresses[g.rng.IntN(len(addresses))], out)
+	}
+	g.publishNodes(out)
+}
+
+// sendShuffle sends a sample to another node, which answers with one of its own.
+func (g *Gossiper) sendShuffle(to string, out *machine.Output) {
+	if to != g.self.Address {
+		out.Send(to, wire.KindShuffle, wire.Gossip{Nodes: g.sample()})
+	}
+}
+
+// publishNodes tells the own process which nodes are known.
+func (g *Gossiper) publishNodes(out *machine.Output) {
+	out.Send("", wire.KindNodeList, wire.Gossip{Nodes: g.Nodes()})
+}
+
+// sample returns this node, and after it a random choice of the others that begins
+// with replicas.
+func (g *Gossiper) sample() []wire.Node {
+	others := slices.DeleteFunc(g.Nodes(), func(n wire.Node) bool { return n.ID == g.self.ID })
+	g.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	for i, found := 0, 0; i < len(others) && found < replicasFirst; i++ {
+		if others[i].Role == roleReplica {
+			others[found], others[i] = others[i], others[found]
+			found++
+		}
+	}
+	return append([]wire.Node{g.self}, others[:min(len(others), shuffleSize)]...)
+}
+
+// merge takes over an entry. One about this node itself is refuted by a higher
+// incarnation, if it names another address or a later incarnation.
+func (g *Gossiper) merge(now time.Duration, node wire.Node, firstHand bool) {
+	if node.ID == g.self.ID {
+		if node.Address != g.self.Address || node.Incarnation > g.self.Incarnation {
+			g.self.Incarnation = max(g.self.Incarnation, node.Incarnation) + 1
+		}
+		return
+	}
+	if node.ID == "" || node.Address == "" || node.Address == g.self.Address {
+		return
+	}
+	g.view.merge(now, node, firstHand)
+}
