--- a/core/state/demand.go
+++ b/core/state/demand.go
@@ -38,9 +38,9 @@
 	return wanted
 }
 
-// UnmetDemand counts the tasks of other classes that are within their own share,
+// unmetDemand counts the tasks of other classes that are within their own share,
 // wait, and could run on some live worker: those for whom resources are kept.
-func (s *Store) UnmetDemand(service, class string) int {
+func (s *Store) unmetDemand(service, class string) int {
 	unmet, load := 0, s.ServiceLoad(service)
 	for wanted, count := range s.waiting {
 		if wanted.service != service || wanted.class == class || wanted.gangSlots > load.Slots {
--- a/core/state/drain.go
+++ b/core/state/drain.go
@@ -7,6 +7,11 @@
 	"sorrelloom/core/status"
 )
 
+// DrainedZones gives the zones that are drained, in order; never nil.
+func (s *Store) DrainedZones() []string {
+	return append([]string{}, slices.Sorted(maps.Keys(s.drainedZones))...)
+}
+
 // drainZone drains a zone or refills it, unless a later order says otherwise. What
 // runs there may end, what has not started yet is stopped.
 func (s *Store) drainZone(cmd Command) Result {
--- a/core/state/dryrun.go
+++ b/core/state/dryrun.go
@@ -102,7 +102,7 @@
 		Known: known, ShareSlots: share, Order: policies.Order(longest),
 		Borrow: known && policies.Borrow(config.BorrowInput{
 			Total: load.Slots, Idle: load.Idle, Requested: 1, Used: max(used, share), Share: share,
-			Waiting: s.UnmetDemand(key.service, key.class), Class: key.class, Service: key.service,
+			Waiting: s.unmetDemand(key.service, key.class), Class: key.class, Service: key.service,
 		}),
 	}
 }
--- a/core/state/explain.go
+++ b/core/state/explain.go
@@ -55,7 +55,7 @@
 func (s *Store) explainSilence(job Job, i int) string {
 	lease := job.Tasks[i].Lease
 	silence := (s.now - s.workers[lease.Worker].LastSeenAt).Round(100 * time.Millisecond)
-	if s.HeldForLostWorker(job, i) {
+	if s.heldForLostWorker(job, i) {
 		return fmt.Sprintf("held: %s has been silent for %s and may have ended it well; "+
 			"it goes on when the worker is heard, or an operator says that it is gone", lease.Worker, silence)
 	}
--- a/core/state/heartbeat.go
+++ b/core/state/heartbeat.go
@@ -1,12 +1,10 @@
 package state
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"time"
 
-	"sorrelloom/core/config"
 	"sorrelloom/core/status"
 )
 
@@ -40,20 +38,6 @@
 	NotRunning []Attempt `json:"unlisted,omitempty"`
 }
 
-// StartOrder is an order to run one attempt.
-type StartOrder struct {
-	Attempt
-	Service   string          `json:"service"`
-	Class     string          `json:"class"`
-	Resources Resources       `json:"room"`
-	Gang      string          `json:"gang,omitempty"`
-	RunLimit  config.Duration `json:"runLimit,omitzero"`
-	// DependencyWorkers are the workers on which the task's dependencies succeeded.
-	DependencyWorkers []string        `json:"holders,omitempty"`
-	Payload           json.RawMessage `json:"payload,omitempty"`
-	Checkpoint        string          `json:"saved,omitempty"`
-}
-
 // HeartbeatReply tells a worker what to start and to stop, and which ends are known.
 // Epoch is that of the primary that it comes from.
 type HeartbeatReply struct {
@@ -290,24 +274,3 @@
 func (hb *Heartbeat) showsNotRunning(lease *Lease) bool {
 	return lease.StartedAt > 0 || hb.Number >= lease.HeartbeatNumber+2
 }
-
-// startOrder is the order to start what a task is leased for.
-func (s *Store) startOrder(ref taskRef) StartOrder {
-	job := s.jobs[ref.job]
-	spec, task := &job.Spec.Tasks[ref.index], &job.Tasks[ref.index]
-	payload := spec.Payload
-	if payload == nil {
-		payload = job.Spec.Payload
-	}
-	order := StartOrder{
-		Attempt: s.attemptOf(ref), Service: job.Spec.Service, Class: job.Spec.Class,
-		Resources: spec.Resources, Gang: spec.Gang, RunLimit: config.Duration{Duration: task.Lease.RunLimit},
-		Payload: payload, Checkpoint: task.Checkpoint,
-	}
-	if len(job.Spec.Steps) == 0 {
-		for _, i := range spec.Dependencies {
-			order.DependencyWorkers = append(order.DependencyWorkers, job.Tasks[i].CompletedOn)
-		}
-	}
-	return order
-}
--- a/core/state/job.go
+++ b/core/state/job.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"sort"
 	"time"
 
 	"sorrelloom/core/config"
@@ -115,3 +116,19 @@
 func jobEnded(job Job) bool {
 	return job.State == Done || job.State == Failed || job.State == Cancelled
 }
+
+// Job gives a job that is not forgotten yet.
+func (s *Store) Job(id string) (Job, bool) {
+	job, ok := s.jobs[id]
+	return job, ok
+}
+
+// ActiveJobs gives every job that is not over, by acceptance.
+func (s *Store) ActiveJobs() []Job {
+	jobs := make([]Job, 0, len(s.activeJobs))
+	for id := range s.activeJobs {
+		jobs = append(jobs, s.jobs[id])
+	}
+	sort.Slice(jobs, func(i, j int) bool { return jobs[i].Tasks[0].Number < jobs[j].Tasks[0].Number })
+	return jobs
+}
--- a/core/state/leadership.go
+++ b/core/state/leadership.go
@@ -45,6 +45,29 @@
 	Leaving  bool   `json:"leaving,omitempty"`
 }
 
+// Leadership gives a leadership by its name, the zero value if nobody had it yet.
+func (s *Store) Leadership(name string) Leadership { return s.leaderships[name] }
+
+// Leaderships gives every leadership by name.
+func (s *Store) Leaderships() []Leadership {
+	leaderships := make([]Leadership, 0, len(s.leaderships))
+	for _, name := range slices.Sorted(maps.Keys(s.leaderships)) {
+		leaderships = append(leaderships, s.leaderships[name])
+	}
+	return leaderships
+}
+
+// Schedulers gives the schedulers that were heard within the given span.
+func (s *Store) Schedulers(within time.Duration) []Scheduler {
+	var schedulers []Scheduler
+	for _, id := range slices.Sorted(maps.Keys(s.schedulers)) {
+		if scheduler := s.schedulers[id]; s.now-scheduler.LastSeenAt <= within {
+			schedulers = append(schedulers, scheduler)
+		}
+	}
+	return schedulers
+}
+
 // schedulerHeartbeat keeps a scheduler known and moves leaderships: the leader may
 // name its successor; when it is silent, a majority of the live schedulers do.
 func (s *Store) schedulerHeartbeat(hb SchedulerHeartbeat) Result {
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -37,7 +37,7 @@
 // does not run the attempt, or when the attempt must have ended: its run limit, the
 // last lease expiry that the worker can have been told, and a margin have passed.
 // Even then a task that may have succeeded is held for a word, unless its class or
-// itself says restart (HeldForLostWorker). A success counts from any attempt.
+// itself says restart (heldForLostWorker). A success counts from any attempt.
 type Lease struct {
 	AttemptNumber int    `json:"try"`
 	Worker        string `json:"worker"`
@@ -175,9 +175,9 @@
 	return max(expiresAt, startedAt+lease.RunLimit) + limits.ExpiryMargin.Duration
 }
 
-// HeldForLostWorker says whether only a word, the worker's or an operator's, frees a
+// heldForLostWorker says whether only a word, the worker's or an operator's, frees a
 // task whose worker is silent: it may have succeeded, and must not start again.
-func (s *Store) HeldForLostWorker(job Job, i int) bool {
+func (s *Store) heldForLostWorker(job Job, i int) bool {
 	task, policy := &job.Tasks[i], job.Spec.Tasks[i].LostWorkerPolicy
 	if policy == "" {
 		policy = s.config.Services[job.Spec.Service].Classes[job.Spec.Class].LostWorkerPolicy
@@ -189,7 +189,7 @@
 // leaseLapsed says whether a lease is over by the silence of its worker.
 func (s *Store) leaseLapsed(now time.Duration, ref taskRef) bool {
 	job := s.jobs[ref.job]
-	return now > s.latestEnd(job.Tasks[ref.index].Lease) && !s.HeldForLostWorker(job, ref.index)
+	return now > s.latestEnd(job.Tasks[ref.index].Lease) && !s.heldForLostWorker(job, ref.index)
 }
 
 // dueStopReason says why a lease is to be stopped now, nothing if it is not.
--- a/core/state/share.go
+++ b/core/state/share.go
@@ -39,6 +39,6 @@
 	}
 	return s.policies.Borrow(config.BorrowInput{
 		Total: load.Slots, Idle: idle, Requested: requestedSlots, Used: used, Share: share,
-		Waiting: s.UnmetDemand(service, class), Class: class, Service: service,
+		Waiting: s.unmetDemand(service, class), Class: class, Service: service,
 	}), true
 }
--- a/core/state/steps.go
+++ b/core/state/steps.go
@@ -1,9 +1,6 @@
 package state
 
-import (
-	"fmt"
-	"time"
-)
+import "fmt"
 
 // expandSteps writes a job's steps out as tasks, repetition by repetition and step
 // by step. The tasks of a step share their slice of dependencies.
@@ -103,8 +100,8 @@
 	return levels
 }
 
-// SameStep says whether two tasks of a job belong to one step of one repetition.
-func (j Job) SameStep(a, b int) bool {
+// sameStep says whether two tasks of a job belong to one step of one repetition.
+func (j *Job) sameStep(a, b int) bool {
 	if len(j.Spec.Steps) > 0 {
 		one, other := &j.Spec.Tasks[a], &j.Spec.Tasks[b]
 		return one.Step == other.Step && one.Repetition == other.Repetition
@@ -122,29 +119,9 @@
 	count := pending
 	for j := range job.Tasks {
 		lease := &job.Tasks[j].Lease
-		if j != i && lease.Held() && lease.Worker == worker && job.SameStep(i, j) {
+		if j != i && lease.Held() && lease.Worker == worker && job.sameStep(i, j) {
 			count++
 		}
 	}
 	return count >= limit
 }
-
-// CriticalPath is the longest chain of expected run times in a job, of one repetition.
-func (j Job) CriticalPath() time.Duration {
-	var longest time.Duration
-	if len(j.Spec.Steps) == 0 {
-		for _, task := range j.Spec.Tasks {
-			longest = max(longest, task.ExpectedRunTime.Duration)
-		}
-		return longest
-	}
-	ends := make([]time.Duration, len(j.Spec.Steps))
-	for i, step := range j.Spec.Steps {
-		for _, dependency := range step.DependsOn {
-			ends[i] = max(ends[i], ends[dependency])
-		}
-		ends[i] += step.ExpectedRunTime.Duration
-		longest = max(longest, ends[i])
-	}
-	return longest
-}
--- a/core/state/store.go
+++ b/core/state/store.go
@@ -33,8 +33,9 @@
 	"sorrelloom/core/status"
 )
 
-// Store is the state. It is not safe for concurrent use; Snapshot gives a view
-// that another goroutine may read.
+// Store is the state. It is not safe for concurrent use; Snapshot gives a view that
+// another goroutine may read. What its methods return are copies of records, never the
+// maps behind; the slices and maps in them are shared and must not be changed.
 type Store struct {
 	position LogPosition
 	// now is state time: the latest time that a command was stamped with.
--- a/core/state/worker.go
+++ b/core/state/worker.go
@@ -27,6 +27,12 @@
 // ID is the worker's name.
 func (w Worker) ID() string { return w.Heartbeat.Worker }
 
+// Worker gives a worker by its name.
+func (s *Store) Worker(id string) (Worker, bool) {
+	worker, ok := s.workers[id]
+	return worker, ok
+}
+
 // Live says whether a worker was heard lately.
 func (s *Store) Live(worker Worker) bool {
 	return s.now-worker.LastSeenAt <= s.config.Limits.HeartbeatTimeout.Duration
