--- a/core/state/heartbeat.go
+++ b/core/state/heartbeat.go
@@ -62,7 +62,8 @@
 type jobSet map[string]bool
 
 // heartbeat takes a worker's report. The worker is believed about itself only: what
-// it runs and what has ended counts as far as it is leased to it.
+// it runs and what has ended counts as far as it is leased to it. A reduced report from
+// another incarnation is rejected, but the leases of the earlier one are orphaned by it.
 func (s *Store) heartbeat(hb Heartbeat) Result {
 	old, known := s.workers[hb.Worker]
 	if hb.Worker == "" || hb.Incarnation <= 0 || hb.Number == 0 || hb.Free.Slots < 0 {
--- a/core/state/preempt.go
+++ b/core/state/preempt.go
@@ -4,7 +4,8 @@
 
 // preempt asks for leases back: a borrowed one for the class that owns the resources,
 // or any that is not of a quick class for a quick task that waits within its class's
-// share. The attempts are stopped; the tasks are ready again once they have ended.
+// share. The attempts are stopped; the tasks are ready again once they have ended. If one
+// lease may not be asked back, those before it in the list are stopped all the same.
 func (s *Store) preempt(grant Grant) Result {
 	if r := s.checkEpoch(&grant); r.isSet() {
 		return r.result()
--- a/core/state/store.go
+++ b/core/state/store.go
@@ -9,7 +9,7 @@
 //
 // Every promise of the scheduler is checked here, in the one conditional write
 // that makes a change; whoever asks for a change may be slow, stale or wrong, and
-// is then rejected with the state left as it was. The rules kept are:
+// is then rejected. The rules kept are:
 //
 //   - A task has at most one lease at a time, and a lease is returned only when
 //     its worker says that it does not run the attempt, or when the attempt must
@@ -121,9 +121,10 @@
 	return changes
 }
 
-// Apply makes the one change that a command asks for, or rejects it with the
-// state left as it was. It never looks at a clock: cmd.Time is state time, which
-// never runs backwards.
+// Apply makes the one change that a command asks for, or rejects it with the state left
+// as it was but for its position and time. Two rejections leave more behind, always on
+// the safe side: preempt and heartbeat say what. Apply never looks at a clock: cmd.Time is
+// state time, which never runs backwards.
 func (s *Store) Apply(cmd Command) Result {
 	s.position = cmd.LogPosition
 	s.clonedJobs = map[string]bool{}
