--- a/daemon/host/host_test.go
+++ b/daemon/host/host_test.go
@@ -12,21 +12,21 @@
 	"sorrelloom/daemon/transport"
 )
 
-// recorder is a machine that lets a test see and steer its steps.
+// recorder is a machine that records its steps and lets a test decide their outputs.
 type recorder struct {
-	steps  []string
-	wakeAt time.Duration
-	do     func(now time.Duration, in machine.Input) machine.Output
+	steps   []string
+	timerAt time.Duration
+	do      func(now time.Duration, in machine.Input) machine.Output
 }
 
-func (r *recorder) NextTimer() time.Duration { return r.wakeAt }
+func (r *recorder) NextTimer() time.Duration { return r.timerAt }
 
 func (r *recorder) Step(now time.Duration, in machine.Input) machine.Output {
 	switch {
 	case in.Message.Kind != "":
 		r.steps = append(r.steps, in.Message.Kind+" "+string(in.Message.Body))
 	case in.Request.ID > 0:
-		r.steps = append(r.steps, "ask "+in.Request.Name)
+		r.steps = append(r.steps, "request "+in.Request.Name)
 	}
 	if r.do != nil {
 		return r.do(now, in)
@@ -34,26 +34,28 @@
 	return machine.Output{}
 }
 
-// start runs a host in whose inbox nothing ages.
+// start runs a host in whose receive queue nothing expires.
 func start(t *testing.T, r *recorder) (*Host, *Runner) {
 	t.Helper()
 	h := New("me", "127.0.0.1:0", nil, nil)
 	h.receiveQueue = transport.NewReceiveQueue(func() time.Duration { return 0 }, h.counters)
-	s := h.Add(r)
+	runner := h.Add(r)
 	if err := h.Run(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(h.Close)
-	return h, s
+	return h, runner
 }
 
-// TestAFrameOfAMemberIsTheNextStep has requests wait while a step is under way.
-func TestAFrameOfAMemberIsTheNextStep(t *testing.T) {
+// TestClusterMessageIsTheNextStep has requests wait while a step is in progress.
+func TestClusterMessageIsTheNextStep(t *testing.T) {
 	const requests = 5000
 	r := &recorder{}
-	h, s := start(t, r)
+	h, runner := start(t, r)
 	put := func(kind, body string) {
-		h.receiveQueue.Enqueue(machine.Message{Version: machine.ProtocolVersion, Kind: kind, From: "other", Body: []byte(body)})
+		h.receiveQueue.Enqueue(machine.Message{
+			Version: machine.ProtocolVersion, Kind: kind, From: "other", Body: []byte(body),
+		})
 	}
 	done := make(chan struct{})
 	r.do = func(_ time.Duration, in machine.Input) machine.Output {
@@ -72,10 +74,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Do(ctx, machine.Request{Name: "busy"})
+	runner.Do(ctx, machine.Request{Name: "busy"})
 	<-done
-	s.Inspect(func() {
-		want := []string{"ask busy", "replicate heartbeat", "command-back answer", "command 0"}
+	runner.Inspect(func() {
+		want := []string{"request busy", "replicate heartbeat", "command-back answer", "command 0"}
 		if len(r.steps) < 4 || fmt.Sprint(r.steps[:4]) != fmt.Sprint(want) {
 			t.Errorf("got %q", r.steps[:4])
 		}
@@ -85,7 +87,7 @@
 	})
 }
 
-func TestARequestIsAnsweredWithItsOwnAnswer(t *testing.T) {
+func TestRequestGetsItsOwnResponse(t *testing.T) {
 	r := &recorder{}
 	var waiting []machine.Request
 	r.do = func(_ time.Duration, in machine.Input) (out machine.Output) {
@@ -93,19 +95,19 @@
 			return out
 		}
 		if waiting = append(waiting, in.Request); len(waiting) == 3 {
-			for _, ask := range []machine.Request{waiting[2], waiting[0], waiting[1]} {
-				out.Respond(ask.ID, "answer to "+ask.Name)
-				out.Respond(ask.ID, "one too many")
+			for _, request := range []machine.Request{waiting[2], waiting[0], waiting[1]} {
+				out.Respond(request.ID, "answer to "+request.Name)
+				out.Respond(request.ID, "one too many")
 			}
 			out.Respond(1000, "nobody's")
 		}
 		return out
 	}
-	_, s := start(t, r)
+	_, runner := start(t, r)
 	answers := make(chan string)
 	for _, name := range []string{"a", "b", "c"} {
 		go func() {
-			got, ok := s.Do(context.Background(), machine.Request{Name: name})
+			got, ok := runner.Do(context.Background(), machine.Request{Name: name})
 			answers <- fmt.Sprint(name, ok, got)
 		}()
 	}
@@ -117,13 +119,13 @@
 	}
 }
 
-func TestAMachineIsSteppedWhenItWantsToBe(t *testing.T) {
+func TestTimersStepTheMachine(t *testing.T) {
 	r := &recorder{}
 	times := make(chan time.Duration, 10)
 	r.do = func(now time.Duration, _ machine.Input) machine.Output {
-		r.wakeAt = 0
+		r.timerAt = 0
 		if times <- now; len(times) < 3 {
-			r.wakeAt = now + 5*time.Millisecond
+			r.timerAt = now + 5*time.Millisecond
 		}
 		return machine.Output{}
 	}
@@ -138,8 +140,8 @@
 	}
 }
 
-// TestWhatAMachineSendsItselfComesBack takes the frame apart as any other.
-func TestWhatAMachineSendsItselfComesBack(t *testing.T) {
+// TestMessageToSelfIsDelivered decodes such a message like any other.
+func TestMessageToSelfIsDelivered(t *testing.T) {
 	r := &recorder{}
 	got := make(chan wire.SubscribeRequest, 2)
 	r.do = func(_ time.Duration, in machine.Input) (out machine.Output) {
@@ -156,10 +158,10 @@
 		}
 		return out
 	}
-	_, s := start(t, r)
+	_, runner := start(t, r)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.Do(ctx, machine.Request{Name: "go"})
+	runner.Do(ctx, machine.Request{Name: "go"})
 	for _, want := range []uint64{1, 2} {
 		if b := <-got; b.Position.Index != want {
 			t.Errorf("got %+v, want %d", b, want)
@@ -167,10 +169,10 @@
 	}
 }
 
-func TestAClosedHostKeepsNobodyWaiting(t *testing.T) {
+func TestClosedHostReleasesWaiters(t *testing.T) {
 	r := &recorder{}
 	h := New("me", "127.0.0.1:0", nil, nil)
-	s := h.Add(r)
+	runner := h.Add(r)
 	if err := h.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +183,7 @@
 		return machine.Output{}
 	}
 	go func() {
-		_, ok := s.Do(context.Background(), machine.Request{Name: "never answered"})
+		_, ok := runner.Do(context.Background(), machine.Request{Name: "never answered"})
 		asked <- ok
 	}()
 	<-begun
@@ -189,8 +191,8 @@
 	if <-asked {
 		t.Error("an answer came")
 	}
-	s.Step(machine.Input{})
-	if _, ok := s.Do(context.Background(), machine.Request{}); ok {
+	runner.Step(machine.Input{})
+	if _, ok := runner.Do(context.Background(), machine.Request{}); ok {
 		t.Error("a closed host answers")
 	}
 }
