--- /dev/null
+++ b/daemon/run/identity.go
@@ -0,0 +1,24 @@
+package run
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/hex"
+)
+
+// RandomID returns a random number that fits into 63 bits, for IDs and seeds. State
+// machines draw no random numbers of their own, so that they stay deterministic.
+func RandomID() uint64 {
+	var data [8]byte
+	if _, err := rand.Read(data[:]); err != nil {
+		panic(err)
+	}
+	return binary.LittleEndian.Uint64(data[:]) >> 1
+}
+
+// RandomHexID returns a random ID of 16 hexadecimal digits.
+func RandomHexID() string {
+	var data [8]byte
+	binary.BigEndian.PutUint64(data[:], RandomID())
+	return hex.EncodeToString(data[:])
+}
