--- a/daemon/client/client.go
+++ b/daemon/client/client.go
@@ -1,94 +1,111 @@
-// Package client calls a front over HTTP, for sorrelctl and the tools. It tries
-// the next front when one does not answer, and never follows anything else.
+// Package client calls the HTTP API of the gateways, for sorrelctl and the tools.
 package client
 
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
+	"slices"
 	"sync/atomic"
 	"time"
 
 	hertz "github.com/cloudwego/hertz/pkg/app/client"
 	"github.com/cloudwego/hertz/pkg/common/hlog"
 	"github.com/cloudwego/hertz/pkg/protocol"
-	"github.com/joomcode/errorx"
 )
 
-var (
-	namespace      = errorx.NewNamespace("client")
-	ErrUnreachable = namespace.NewType("unreachable")
+const (
+	dialTimeout           = time.Second
+	readTimeout           = time.Minute
+	maxConnectionsPerHost = 4096
 )
 
+// ErrUnreachable is returned if no response was received in time. The request may have
+// taken effect all the same.
+var ErrUnreachable = errors.New("no response")
+
+// Client calls a list of gateways. It is safe for concurrent use.
 type Client struct {
 	gateways    []string
 	nextGateway atomic.Uint64
 	hertz       *hertz.Client
 }
 
-// Must makes a client of IP:port addresses.
-func MustNew(fronts []string) *Client {
+// MustNew creates a client of gateways at IP:port addresses.
+func MustNew(gateways []string) *Client {
 	hlog.SetLevel(hlog.LevelFatal)
-	h, err := hertz.NewClient(hertz.WithDialTimeout(time.Second), hertz.WithMaxConnsPerHost(4096), hertz.WithClientReadTimeout(time.Minute))
+	c, err := hertz.NewClient(hertz.WithDialTimeout(dialTimeout), hertz.WithMaxConnsPerHost(maxConnectionsPerHost),
+		hertz.WithClientReadTimeout(readTimeout))
 	if err != nil {
 		panic(err)
 	}
-	return &Client{gateways: fronts, hertz: h}
+	return &Client{gateways: gateways, hertz: c}
 }
 
-// Response is what came back, whatever its status.
+// Response is an HTTP response of any status.
 type Response struct {
 	Status     int
 	RetryAfter string
 	Body       []byte
 }
 
+// Decode decodes a JSON body.
 func (r Response) Decode(v any) error {
 	if err := json.Unmarshal(r.Body, v); err != nil {
-		return fmt.Errorf("status %d, body %.200q: %w", r.Status, r.Body, err)
+		return fmt.Errorf("decode response of status %d, body %.200q: %w", r.Status, r.Body, err)
 	}
 	return nil
 }
 
-// Once calls the front whose turn it is, and moves the turn on if that fails.
-func (c *Client) CallOnce(method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
-	turn := c.nextGateway.Load()
-	front := c.gateways[turn%uint64(len(c.gateways))]
-	r, err := c.CallAddress(front, method, path, body, headers, wait)
-	if err != nil || r.Status == 503 {
-		c.nextGateway.CompareAndSwap(turn, turn+1)
+// Call calls one gateway after the other until one is available. Each of them has the
+// whole timeout.
+func (c *Client) Call(
+	method, path string, body []byte, headers map[string]string, timeout time.Duration,
+) (response Response, err error) {
+	for range c.gateways {
+		response, err = c.CallOnce(method, path, body, headers, timeout)
+		if err == nil && response.Status != http.StatusServiceUnavailable {
+			return response, nil
+		}
+	}
+	return response, err
+}
+
+// CallOnce calls the current gateway. If that is not available, the next call goes to the
+// next one.
+func (c *Client) CallOnce(
+	method, path string, body []byte, headers map[string]string, timeout time.Duration,
+) (Response, error) {
+	current := c.nextGateway.Load()
+	address := c.gateways[current%uint64(len(c.gateways))]
+	response, err := c.CallAddress(address, method, path, body, headers, timeout)
+	if err != nil || response.Status == http.StatusServiceUnavailable {
+		c.nextGateway.CompareAndSwap(current, current+1)
 	}
-	return r, err
+	return response, err
 }
 
-// At calls one address.
-func (c *Client) CallAddress(address, method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
-	req, res := protocol.AcquireRequest(), protocol.AcquireResponse()
-	defer protocol.ReleaseRequest(req)
-	defer protocol.ReleaseResponse(res)
-	req.SetMethod(method)
-	req.SetRequestURI("http://" + address + path)
+// CallAddress calls one address.
+func (c *Client) CallAddress(
+	address, method, path string, body []byte, headers map[string]string, timeout time.Duration,
+) (Response, error) {
+	request, response := protocol.AcquireRequest(), protocol.AcquireResponse()
+	defer protocol.ReleaseRequest(request)
+	defer protocol.ReleaseResponse(response)
+	request.SetMethod(method)
+	request.SetRequestURI("http://" + address + path)
 	if body != nil {
-		req.Header.SetContentTypeBytes([]byte("application/json"))
-		req.SetBody(body)
+		request.Header.SetContentTypeBytes([]byte("application/json"))
+		request.SetBody(body)
 	}
 	for key, value := range headers {
-		req.Header.Set(key, value)
+		request.Header.Set(key, value)
 	}
-	if err := c.hertz.DoTimeout(context.Background(), req, res, wait); err != nil {
-		return Response{}, ErrUnreachable.Wrap(err, "%s %s at %s", method, path, address)
-	}
-	return Response{res.StatusCode(), res.Header.Get("Retry-After"), append([]byte(nil), res.Body()...)}, nil
-}
-
-// Call tries every front in turn until one answers within its share of wait.
-func (c *Client) Call(method, path string, body []byte, headers map[string]string, wait time.Duration) (Response, error) {
-	var r Response
-	var err error
-	for range c.gateways {
-		if r, err = c.CallOnce(method, path, body, headers, wait); err == nil && r.Status != 503 {
-			return r, nil
-		}
+	if err := c.hertz.DoTimeout(context.Background(), request, response, timeout); err != nil {
+		return Response{}, fmt.Errorf("%s %s at %s: %w: %w", method, path, address, ErrUnreachable, err)
 	}
-	return r, err
+	// The body is copied, since hertz reuses it.
+	return Response{response.StatusCode(), response.Header.Get("Retry-After"), slices.Clone(response.Body())}, nil
 }
