--- /dev/null
+++ b/daemon/audit/verify.go
@@ -0,0 +1,107 @@
+package audit
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"sorrelloom/core/state"
+)
+
+// noEntry is the index in a finding that concerns no single entry.
+const noEntry = -1
+
+// Finding is one thing that is wrong with a log, or with several of them together.
+type Finding struct {
+	Dir string `json:"folder,omitempty"`
+	// EntryIndex is the number of the entry in the log, from 0, or -1.
+	EntryIndex int64  `json:"entry"`
+	Reason     string `json:"why"`
+}
+
+// Report is the result of a verification.
+type Report struct {
+	EntryCount int `json:"entries"`
+	// FirstIndex and LastIndex are the log positions of the first and last decisions.
+	FirstIndex uint64    `json:"from"`
+	LastIndex  uint64    `json:"to"`
+	Findings   []Finding `json:"findings"`
+}
+
+func (r *Report) addf(dir string, entry int64, format string, args ...any) {
+	r.Findings = append(r.Findings, Finding{dir, entry, fmt.Sprintf(format, args...)})
+}
+
+// Verify checks logs against their checkpoints, and all of them together for missing
+// decisions. Without public keys those in the directories are used, which proves less:
+// whoever can replace a log can replace its key as well.
+func Verify(dirs []string, keys []string) (Report, error) {
+	report := Report{Findings: []Finding{}}
+	merged := mergedLog{lines: map[uint64]string{}, previous: map[uint64]uint64{}}
+	for _, dir := range dirs {
+		lines, err := verifyLog(dir, keys, &report)
+		if err != nil {
+			return report, err
+		}
+		merged.add(dir, lines, &report)
+	}
+	report.EntryCount = len(merged.lines)
+	merged.findGaps(&report)
+	return report, nil
+}
+
+// mergedLog holds the entries of all logs by their index.
+type mergedLog struct {
+	lines map[uint64]string
+	// previous is the index of the decision before each one.
+	previous map[uint64]uint64
+}
+
+// add adds the entries of one log, and finds those that differ from other logs.
+func (m *mergedLog) add(dir string, lines []string, report *Report) {
+	for i, line := range lines {
+		var entry state.AuditEntry
+		if err := json.Unmarshal([]byte(line), &entry); err != nil {
+			report.addf(dir, int64(i), "not a JSON entry")
+			continue
+		}
+		if other, ok := m.lines[entry.Index]; ok && other != line {
+			report.addf(dir, int64(i), "sequence %d says something else in another log", entry.Index)
+		}
+		m.lines[entry.Index], m.previous[entry.Index] = line, entry.PreviousIndex
+		if report.FirstIndex == 0 || entry.Index < report.FirstIndex {
+			report.FirstIndex = entry.Index
+		}
+		report.LastIndex = max(report.LastIndex, entry.Index)
+	}
+}
+
+// findGaps follows the decisions from the last to the first one, and finds those that
+// another one names as its predecessor and that are in none of the logs.
+func (m *mergedLog) findGaps(report *Report) {
+	for index := report.LastIndex; index > report.FirstIndex; {
+		previous, ok := m.previous[index]
+		if !ok {
+			return
+		}
+		if _, ok := m.previous[previous]; !ok {
+			present := m.lastBefore(previous)
+			if previous > report.FirstIndex {
+				report.addf("", noEntry, "the decision of sequence %d is missing; the one before it that is there is %d",
+					previous, present)
+			}
+			previous = present
+		}
+		index = previous
+	}
+}
+
+// lastBefore returns the largest index below another one, or 0.
+func (m *mergedLog) lastBefore(index uint64) uint64 {
+	last := uint64(0)
+	for candidate := range m.previous {
+		if candidate < index {
+			last = max(last, candidate)
+		}
+	}
+	return last
+}
