--- a/core/control/control.go
+++ b/core/control/control.go
@@ -36,6 +36,8 @@
 	BackupCount int
 }
 
+var _ machine.Machine = (*Control)(nil)
+
 // Control is a replica with its dispatcher. It is not safe for concurrent use.
 type Control struct {
 	replica   *replica.Replica
--- a/core/control/leader_change_test.go
+++ b/core/control/leader_change_test.go
@@ -13,24 +13,24 @@
 // former or starts more than a part of the latter, and all of it is done soon.
 func TestStepsOfANewLeaderAreBounded(t *testing.T) {
 	const jobs, tasks, workers, startsEach = 20, 1000, 60, 10
-	const maxReleased, maxCommands = 2 * 8192, 64 + 32 + 4
+	const maxTasks, maxCommands = 2 * 8192, 64 + 32 + 4
 	n := newNet(t)
 	n.configure()
 	for i := range jobs {
 		n.submitJob(fmt.Sprintf("j%d", i), tasks)
 	}
-	var mostCommands, mostReleased uint64
-	indexes, released := map[*Control]uint64{}, map[*Control]uint64{}
+	var mostCommands, mostTasks uint64
+	indexes, runnable := map[*Control]uint64{}, map[*Control]uint64{}
 	n.onStep = func(c *Control) {
-		index, count := c.Replica().Store().Position().Index, c.Scheduler().Counters().Released
+		index, count := c.Replica().Store().Position().Index, c.Scheduler().Counters().Runnable
 		if c.Replica().Serving() {
 			mostCommands = max(mostCommands, index-indexes[c])
-			mostReleased = max(mostReleased, count-released[c])
+			mostTasks = max(mostTasks, count-runnable[c])
 		}
-		indexes[c], released[c] = index, count
+		indexes[c], runnable[c] = index, count
 	}
 	n.run(testTick)
-	mostCommands, mostReleased = 0, 0
+	mostCommands, mostTasks = 0, 0
 	n.kill(n.leader())
 	n.runUntilServed(testTick)
 	// Half of the first heartbeats are deferred.
@@ -46,9 +46,9 @@
 	for _, length := range n.nodes[n.leader()].control.Scheduler().QueueLengths() {
 		queued += length
 	}
-	t.Logf("at most %d commands and %d tasks in a step", mostCommands, mostReleased)
-	if mostReleased > maxReleased || mostCommands > maxCommands {
-		t.Errorf("a step took %d commands and %d tasks", mostCommands, mostReleased)
+	t.Logf("at most %d commands and %d tasks in a step", mostCommands, mostTasks)
+	if mostTasks > maxTasks || mostCommands > maxCommands {
+		t.Errorf("a step took %d commands and %d tasks", mostCommands, mostTasks)
 	}
 	// The starts of the first heartbeats are returned, since no heartbeat lists them,
 	// and are granted again.
--- a/core/control/proxy_test.go
+++ b/core/control/proxy_test.go
@@ -67,7 +67,7 @@
 	}
 	out = step(wire.KindFeedUpdate, wire.FeedUpdate{Rejected: true, Epoch: 4, Primary: "k:1"})
 	if len(out) != 1 || out[0].To != "k:1" {
-		t.Errorf("word of a new primary leads to %+v", out)
+		t.Errorf("an update of a new primary leads to %+v", out)
 	}
 }
 
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -26,14 +26,14 @@
 
 // Counters count which rules decided. Their encoded names are older than their names here.
 type Counters struct {
-	// Released counts runnable tasks that were to be put into a queue.
-	Released uint64 `json:"Releases"`
+	// Runnable counts the tasks that became runnable and were to be put into a queue.
+	Runnable uint64 `json:"Releases"`
 	// OwnQueue counts pulls answered from the worker's own queue, Stolen those
 	// answered from another worker's.
 	OwnQueue uint64 `json:"Own"`
 	Stolen   uint64 `json:"Helped"`
 	// DecidedByLevel, DecidedByLocality and DecidedByNumber count pulls by the first
-	// rule of the order that told the chosen task from another candidate.
+	// rule of the order that set the chosen task before another candidate.
 	DecidedByLevel    uint64 `json:"Deepest"`
 	DecidedByLocality uint64 `json:"Locality"`
 	DecidedByNumber   uint64 `json:"Smallest"`
--- a/core/dispatch/examine.go
+++ b/core/dispatch/examine.go
@@ -9,7 +9,7 @@
 
 const (
 	// StealDelay is how long a task may wait in the queue of a worker that has the
-	// resources for it before others may steal it: that worker's scheduler may be gone.
+	// resources for it before others may steal it: that worker's scheduler may have failed.
 	StealDelay = 300 * time.Millisecond
 
 	// maxExaminedWithInputs bounds how many tasks of one group are compared by
--- a/core/dispatch/order.go
+++ b/core/dispatch/order.go
@@ -73,7 +73,7 @@
 	// helpers and progress are those of that worker, if it is another one.
 	helpers  int
 	progress float64
-	// These say which rules told the best from another candidate.
+	// These say which rules set the best before another candidate.
 	decidedByLevel    bool
 	decidedByLocality bool
 	decidedByNumber   bool
--- a/core/dispatch/rebuild_test.go
+++ b/core/dispatch/rebuild_test.go
@@ -62,9 +62,9 @@
 	f.Store.TakeChanges()
 	steps := 0
 	for first := true; first || d.Rebuilding(); first = false {
-		before := d.Counters.Released
+		before := d.Counters.Runnable
 		d.Update(f.Store, changes)
-		if took := d.Counters.Released - before; took > batchLimit+uint64(len(changes)) {
+		if took := d.Counters.Runnable - before; took > batchLimit+uint64(len(changes)) {
 			t.Fatalf("step %d took %d tasks", steps, took)
 		}
 		if steps++; steps == 1 {
--- a/core/dispatch/update.go
+++ b/core/dispatch/update.go
@@ -33,7 +33,7 @@
 		d.startAttempt(ref, task)
 	case task.State == state.Ready:
 		if !d.queues.contains(ref) && isGangHead(job, ref.Index) {
-			d.Counters.Released++
+			d.Counters.Runnable++
 			d.chooseQueue(store, job, ref)
 		}
 	default:
--- a/core/scheduler/renewal.go
+++ b/core/scheduler/renewal.go
@@ -16,7 +16,7 @@
 //
 // A reply never promises more than what is committed: leaseExpiry is raised only by
 // the result of the command that extended the lease, so that the next primary honors
-// every lease that a worker was told of.
+// every lease that a worker was promised.
 
 const (
 	// maxRenewalInterval bounds the time between two renewals. It is shorter where the
--- a/core/scheduler/scan.go
+++ b/core/scheduler/scan.go
@@ -200,8 +200,8 @@
 }
 
 // uncommittedAttempts returns the tasks, with attempt number 0, of the grants that
-// the primary's own state shows before they are committed. No worker may be told
-// of them yet.
+// the primary's own state shows before they are committed. No worker may get
+// them yet.
 func (s *Scheduler) uncommittedAttempts() map[state.Attempt]bool {
 	uncommitted := map[state.Attempt]bool{}
 	if !s.access.IsLocal() {
--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -43,7 +43,7 @@
 				return v
 			},
 			Gauges: []web.Gauge{
-				counter("releases", "tasks put into an inbox", func(c dispatch.Counters) uint64 { return c.Released }),
+				counter("releases", "tasks put into an inbox", func(c dispatch.Counters) uint64 { return c.Runnable }),
 				counter("own", "pulls answered from the own inbox", func(c dispatch.Counters) uint64 { return c.OwnQueue }),
 				counter("helped", "pulls answered from a straggler's inbox", func(c dispatch.Counters) uint64 { return c.Stolen }),
 				counter("deepest", "choices decided by the deepest step", func(c dispatch.Counters) uint64 { return c.DecidedByLevel }),
