--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -50,7 +50,7 @@
 		return web.Gauge{Name: "dispatch_" + name, Help: help, Read: func() float64 { return float64(value(read())) }}
 	}
 	return []web.Gauge{
-		gauge("releases", "tasks put into a worker's queue", func(c counters) uint64 { return c.Released }),
+		gauge("releases", "tasks put into a worker's queue", func(c counters) uint64 { return c.Runnable }),
 		gauge("own", "pulls served from the worker's own queue", func(c counters) uint64 { return c.OwnQueue }),
 		gauge("helped", "pulls served from a straggler's queue", func(c counters) uint64 { return c.Stolen }),
 		gauge("deepest", "choices decided by the deepest step", func(c counters) uint64 { return c.DecidedByLevel }),
