--- a/core/replica/bootstrap_test.go
+++ b/core/replica/bootstrap_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sorrelloom/core/wire"
 )
 
 const (
@@ -287,3 +289,42 @@
 		c.checkAnswered()
 	}
 }
+
+// TestChooseFirstMembers picks the members of a first view from founders and others, which are
+// named by zone and number.
+func TestChooseFirstMembers(t *testing.T) {
+	members := func(names string) []wire.Member {
+		var out []wire.Member
+		for _, name := range strings.Fields(names) {
+			out = append(out, wire.Member{ID: name, Address: name, Zone: name[:1]})
+		}
+		return out
+	}
+	for _, row := range []struct {
+		name             string
+		founders, others string
+		founderCount     int
+		backupCount      int
+		waited           bool
+		want             string // empty if not ok
+	}{
+		{"three zones", "x1 y1 z1", "x2 y2", 3, 1, false, "x1 y1 z1"},
+		{"one zone, others at once", "x1 x2 x3", "y1 z1", 3, 1, false, "x1 y1 z1"},
+		{"one zone, no others yet", "x1 x2 x3", "", 3, 1, false, ""},
+		{"one zone, no others", "x1 x2 x3", "", 3, 1, true, "x1 x2 x3"},
+		{"two backups", "x1 y1 z1", "x2 y2 z2", 3, 2, false, "x1 y1 z1 x2 y2"},
+		{"two backups, an even number", "x1 y1 z1", "x2", 3, 2, true, "x1 y1 z1"},
+		{"too few", "x1", "y1", 1, 1, true, ""},
+	} {
+		founders := members(row.founders)
+		got, ok := chooseFirstMembers(
+			founders[0], founders, row.founderCount, members(row.others), row.backupCount, row.waited)
+		var names []string
+		for _, member := range got {
+			names = append(names, member.ID)
+		}
+		if ok != (row.want != "") || ok && strings.Join(names, " ") != row.want {
+			t.Errorf("%s: %v, %v", row.name, names, ok)
+		}
+	}
+}
--- a/core/replica/commands_test.go
+++ b/core/replica/commands_test.go
@@ -159,3 +159,30 @@
 		}
 	}
 }
+
+// TestReleaseInOrder checks that replies wait for the commit, for a message acknowledged by
+// all backups, and for all replies before them.
+func TestReleaseInOrder(t *testing.T) {
+	pendingOf := func(id, index, sendID uint64, to string) pendingReply {
+		return pendingReply{to: to, body: wire.CommandReply{ID: id}, index: index, sendID: sendID}
+	}
+	var q commandQueue
+	q.pending = append(q.pending, pendingOf(1, 5, 2, "client"), pendingOf(2, 5, 3, ""), pendingOf(3, 6, 3, "client"))
+	for _, row := range []struct {
+		commitIndex, sendID uint64
+		sent, local, left   int
+	}{
+		{4, 9, 0, 0, 3},
+		{5, 1, 0, 0, 3},
+		{5, 2, 1, 0, 2},
+		{5, 3, 0, 1, 1},
+		{6, 3, 1, 1, 0},
+	} {
+		var out machine.Output
+		q.release(row.commitIndex, row.sendID, &out)
+		if len(out.Messages) != row.sent || len(q.local) != row.local || len(q.pending) != row.left {
+			t.Errorf("committed %d, acknowledged %d: %d sent, %d local, %d left",
+				row.commitIndex, row.sendID, len(out.Messages), len(q.local), len(q.pending))
+		}
+	}
+}
