--- a/core/paxos/acceptor.go
+++ b/core/paxos/acceptor.go
@@ -5,9 +5,9 @@
 // An epoch is decided once a majority of the voters of the previous view have accepted a
 // view at one ballot and, where that view changes the voters, a majority of its own voters
 // too. Any later ballot asks a majority of the previous view's voters first, which shares
-// a member with the deciding one, and must propose what that member accepted: so no epoch
-// is decided twice with different views. The majority of the new voters makes sure that
-// the next epoch's acceptors know the view.
+// a member with the deciding one, and must propose the view accepted at the highest ballot:
+// so no epoch is decided twice with different views. The new voters must accept as well,
+// since they decide the next epoch: a view is not decided if too few of them can be reached.
 //
 // All types are values without I/O. A reply of an acceptor may be sent only once the state
 // returned with it is synced to disk, since a vote that is forgotten could be given twice.
