--- a/core/replica/disk.go
+++ b/core/replica/disk.go
@@ -40,10 +40,11 @@
 	startedAt   time.Duration // of the last write
 }
 
-// inFlightWrite is what holds once a batch is synced.
+// inFlightWrite is a batch on its way to the disk, and what holds once it is synced.
 type inFlightWrite struct {
-	id             uint64 // 0 if there is none
-	messages       []machine.OutgoingMessage
+	id       uint64 // 0 if there is none
+	messages []machine.OutgoingMessage
+	// index is the last command and candidateEpoch the last candidacy on the disk then.
 	index          uint64
 	candidateEpoch uint64
 }
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -36,15 +36,19 @@
 	// acceptor is this replica's part in deciding views; it holds the newest known view.
 	acceptor paxos.Acceptor
 
-	log         replicatedLog
-	disk        diskWriter
+	// The log and what waits for its commands: for this disk, or for their commit.
+	log      replicatedLog
+	disk     diskWriter
+	acks     []pendingAck
+	commands commandQueue
+	audit    auditQueue
+	feed     feedPublisher
+
+	// What is sent to the peers, and how far they are.
 	peers       progressMap
 	replication replication
-	commands    commandQueue
-	acks        []pendingAck
-	audit       auditQueue
-	feed        feedPublisher
 
+	// Views: leading the current one, proposing the next, finding it, making the first.
 	leadership leadership
 	election   election
 	discovery  discovery
