--- a/tool/sim/large_site.go
+++ b/tool/sim/large_site.go
@@ -82,7 +82,7 @@
 }
 
 // snapshotInstalledEvent is the log event of a replica that has installed a snapshot.
-const snapshotInstalledEvent = "copied"
+const snapshotInstalledEvent = "snapshot_installed"
 
 // RecoveredInTime reports whether the level from before came back in time, and stayed.
 func (r LargeSiteResult) RecoveredInTime() bool { return r.RecoveredAfter <= recoverWithin }
