--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -1,9 +1,21 @@
-// Package agent is the process that stands beside one worker, without a disk,
-// and keeps the worker's contract towards the scheduler on its behalf. The
-// worker calls it and is answered at once from what is known; the agent keeps
-// one report of it out at the primary keeper's process. All that it knows it
-// has from the worker's calls and the core's replies, so that it may die at any
-// moment: the next one asks the core how far the count of reports has come.
+// Package agent is the node agent: the process beside one worker that keeps the
+// worker's side of the protocol with the scheduler. A worker calls its agent at
+// short intervals and is answered at once from what the agent knows; the agent
+// exchanges heartbeats (reports) with the primary replica, one in flight at a time.
+//
+// # Safety
+//
+// A worker's lease begins when the heartbeat left that the primary answered, so it
+// ends at the agent no later than at the primary. A reply to a worker grants what
+// remains of it, and never more. The agent reports the runs of a worker that fell
+// silent as ended only after the last grant, with a margin for clock drift, has
+// passed; a start that was never handed over is reported as lost; and an end is
+// acknowledged to the worker only after the primary acknowledged it.
+//
+// The agent has no disk. All that it knows comes from calls and replies, so it may
+// be restarted at any moment: a new incarnation learns from the primary which
+// report number comes next, and treats the runs of the first call as granted under
+// a full lease by the incarnation before.
 package agent
 
 import (
@@ -12,51 +24,47 @@
 	"time"
 
 	"sorrelloom/core/machine"
-	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
 )
 
-// Env is what an agent begins with. First differs between two runs of the
-// process, so that no reply reaches the next run as its own.
-type Config struct {
-	Address       string
-	Zone          string
-	Replicas      []string
-	FirstReportID uint64
-	ReportWait    time.Duration // how long the core may hold a report
-	CallInterval  time.Duration // when the worker is to call next
-	CallTimeout   time.Duration // after this time without a call the worker is not reported
-}
-
 const (
 	defaultReportWait   = 500 * time.Millisecond
 	defaultCallInterval = 100 * time.Millisecond
 	defaultCallTimeout  = time.Second
 
-	replyTimeout         = 2 * time.Second
-	handOverTimeout      = 1500 * time.Millisecond
-	replyGrace           = 600 * time.Millisecond
-	minReportInterval    = 10 * time.Millisecond
-	progressInterval     = 400 * time.Millisecond
-	retryDelay           = 100 * time.Millisecond
-	minRedirectDelay     = 60 * time.Millisecond
-	maxRedirectDelay     = 300 * time.Millisecond
-	rejectionsPerReplica = 5
-	maxReportInterval    = 200 * time.Millisecond // between two reports at the core's wish
-	maxDeferral          = time.Second            // until a report that the core put off
-	clockDriftPercent    = 3
-	clockDriftMargin     = 100 * time.Millisecond
-	maxDepartedNames     = 64
-	jitterStream         = 1
+	// jitterStream separates the jitter from other random numbers of the same seed.
+	jitterStream = 1
 )
 
-// Counters count since the process began. Dropped are starts that were taken
-// and never became a run.
+// Config is what an agent starts with. Zero durations take defaults.
+type Config struct {
+	Address string
+	// Zone is the zone of workers that name none.
+	Zone string
+	// Replicas are the addresses of replicas to begin from.
+	Replicas []string
+	// FirstReportID must differ between two incarnations of the process, so that no
+	// reply to the one before is taken for a reply to this one.
+	FirstReportID uint64
+	// ReportWait is how long the primary may wait for orders before it answers a report.
+	ReportWait time.Duration
+	// CallInterval is the time between two calls of the worker.
+	CallInterval time.Duration
+	// CallTimeout is after what time without a call a worker is not reported any more.
+	CallTimeout time.Duration
+}
+
+// Counters count since the process started.
 type Counters struct {
-	Reports, Calls, Starts, Stops, DroppedStarts uint64
+	Reports uint64
+	Calls   uint64
+	Starts  uint64
+	Stops   uint64
+	// DroppedStarts counts starts that the agent took and that never became a run.
+	DroppedStarts uint64
 }
 
-// Status is for a status page; times are on the agent's own clock.
+// Status describes the agent for a status page. Times are those of its own clock.
 type Status struct {
 	Worker             string
 	Primary            string
@@ -72,31 +80,35 @@
 	Counters           Counters
 }
 
-// Agent keeps the worker that calls and those before it that the core has not
-// yet been told are gone.
+// Agent is the machine.Machine of a node agent.
 type Agent struct {
-	config        Config
-	counters      Counters
-	lastReportID  uint64
-	worker        *worker
-	departing     []*worker
-	departedNames []string
-	lastDeparted  Call // the last of a worker that was forgotten
-
-	replicas      []string
-	target        string
-	primary       string
+	config   Config
+	counters Counters
+	rng      *rand.Rand
+
+	// worker is the one that calls, nil before the first call.
+	worker *worker
+	// departing are earlier workers whose end the primary has not acknowledged yet.
+	departing []*worker
+	departed  departedWorkers
+
+	replicas replicaSelector
+	// primary is the replica that answered last.
+	primary      string
+	lastReportID uint64
+	// rejections counts the reports rejected since one was answered.
 	rejections    int
 	fencingEpoch  uint64
 	leaseDuration time.Duration
 	lastReplyAt   time.Duration
 	replied       bool
-	nextTimer     time.Duration
-	// pace is the time between two reports that the core asks for.
+	// reportInterval is the time between two reports that the primary asks for.
 	reportInterval time.Duration
-	rng            *rand.Rand
+
+	nextTimer time.Duration
 }
 
+// New returns an agent that knows no worker yet.
 func New(config Config) *Agent {
 	if config.ReportWait <= 0 {
 		config.ReportWait = defaultReportWait
@@ -107,30 +119,48 @@
 	if config.CallTimeout <= 0 {
 		config.CallTimeout = defaultCallTimeout
 	}
-	a := &Agent{config: config, lastReportID: config.FirstReportID, rng: rand.New(rand.NewPCG(config.FirstReportID, jitterStream))}
-	if len(config.Replicas) > 0 {
-		a.target = config.Replicas[0]
+	return &Agent{
+		config:       config,
+		rng:          rand.New(rand.NewPCG(config.FirstReportID, jitterStream)),
+		replicas:     newReplicaSelector(config.Replicas),
+		lastReportID: config.FirstReportID,
 	}
-	return a
 }
 
+// NextTimer returns when the agent is to be stepped next, 0 for no time.
 func (a *Agent) NextTimer() time.Duration { return a.nextTimer }
-func (a *Agent) Counters() Counters       { return a.counters }
 
-// Ready says whether the core hears this agent.
+// Counters returns the counters.
+func (a *Agent) Counters() Counters { return a.counters }
+
+// Ready reports whether the primary answers this agent. Without a worker there is
+// nothing to answer.
 func (a *Agent) Ready(now time.Duration) bool {
 	return a.counters.Calls == 0 || a.replied && now-a.lastReplyAt <= replyTimeout
 }
 
+// Status returns the agent's status.
 func (a *Agent) Status() Status {
-	s := Status{Primary: a.primary, LastReplyAt: a.lastReplyAt, FencingEpoch: a.fencingEpoch, Departing: len(a.departing), Counters: a.counters}
+	s := Status{
+		Primary:      a.primary,
+		LastReplyAt:  a.lastReplyAt,
+		FencingEpoch: a.fencingEpoch,
+		Departing:    len(a.departing),
+		Counters:     a.counters,
+	}
 	if w := a.worker; w != nil {
-		s.Worker, s.ReportNumber, s.LastCallAt, s.LeaseExpiry = w.lastCall.Worker, w.reportNumber, w.lastCallAt, w.leaseExpiry
-		s.Running, s.PendingStarts, s.UnacknowledgedEnds = len(w.running()), len(w.pendingStarts), len(w.unacknowledgedEnds)+len(w.agentEnds)
+		s.Worker = w.lastCall.Worker
+		s.ReportNumber = w.reports.number
+		s.LastCallAt = w.lastCallAt
+		s.LeaseExpiry = w.leaseExpiry
+		s.Running = len(w.running())
+		s.PendingStarts = len(w.pendingStarts)
+		s.UnacknowledgedEnds = w.ends.openCount()
 	}
 	return s
 }
 
+// Step handles one input, and sends the reports that are due.
 func (a *Agent) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
 	switch {
@@ -140,14 +170,14 @@
 	case in.Request.ID > 0:
 		a.handleRequest(now, in.Request, &out)
 	case in.Message.Kind == wire.KindHeartbeatReply:
-		var b wire.HeartbeatReply
-		if err := machine.Unmarshal(in.Message.Body, &b); err != nil {
-			out.Log("line_damaged", "kind", in.Message.Kind, "from", in.Message.From, "why", err.Error())
+		var reply wire.HeartbeatReply
+		if err := machine.Unmarshal(in.Message.Body, &reply); err != nil {
+			out.Log("message_malformed", "kind", in.Message.Kind, "from", in.Message.From, "error", err.Error())
 			break
 		}
-		a.handleReply(now, b, &out)
+		a.handleReply(now, reply, &out)
 	case in.Message.Kind != "":
-		out.Log("line_unknown", "kind", in.Message.Kind, "from", in.Message.From)
+		out.Log("message_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 	}
 	a.nextTimer = 0
 	for _, w := range a.workers() {
@@ -157,59 +187,19 @@
 	return out
 }
 
+// workers returns the departing workers and the one that calls, in the order in
+// which they came.
 func (a *Agent) workers() []*worker {
-	all := slices.Clone(a.departing)
+	workers := slices.Clone(a.departing)
 	if a.worker != nil {
-		all = append(all, a.worker)
+		workers = append(workers, a.worker)
 	}
-	return all
+	return workers
 }
 
-// wake asks to be stepped at a time that is still to come.
+// scheduleTimer has the agent stepped at a time, or in a moment if that has passed.
 func (a *Agent) scheduleTimer(now, at time.Duration) {
 	if at = max(at, now+time.Millisecond); a.nextTimer == 0 || at < a.nextTimer {
 		a.nextTimer = at
 	}
 }
-
-// forget drops a worker that the core knows to be gone.
-func (a *Agent) removeWorker(w *worker) {
-	a.departing = slices.DeleteFunc(a.departing, func(o *worker) bool { return o == w })
-	if a.worker == w {
-		a.worker, a.lastDeparted = nil, w.lastCall
-	}
-}
-
-// bury has a name answered without orders from now on: a late call of a worker
-// that is gone must not take the place of the one that calls now.
-func (a *Agent) rememberDeparted(name string) {
-	if a.departedNames = append(a.departedNames, name); len(a.departedNames) > maxDepartedNames {
-		a.departedNames = a.departedNames[1:]
-	}
-}
-
-// expire withdraws starts that may no longer be handed over.
-func (a *Agent) withdrawExpiredStarts(now time.Duration, w *worker, out *machine.Output) {
-	w.pendingStarts = slices.DeleteFunc(w.pendingStarts, func(start *pendingStart) bool {
-		reason := w.refusalReason(now, start)
-		start.withdrawn = start.withdrawn || reason != ""
-		if reason == "" || start.handedOver {
-			return false
-		}
-		a.dropStart(w, start.Attempt, reason, out)
-		return true
-	})
-	for _, start := range w.pendingStarts {
-		if !start.withdrawn {
-			a.scheduleTimer(now, min(start.handOverBy, w.leaseExpiry))
-		}
-	}
-}
-
-// drop reports a start as lost that never became a run.
-func (a *Agent) dropStart(w *worker, attempt state.Attempt, reason string, out *machine.Output) {
-	w.agentEnds = append(w.agentEnds, state.AttemptResult{Attempt: attempt, Lost: true, Reason: reason})
-	w.dirty = true
-	a.counters.DroppedStarts++
-	out.Log("start_dropped", "worker", w.lastCall.Worker, "attempt", attempt.String(), "why", reason)
-}
--- a/core/agent/agent_test.go
+++ b/core/agent/agent_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-func endOf(n uint64, job, how string) EndedRun {
-	return EndedRun{Number: n, Run: runOf(job), Outcome: how}
+func endOf(number uint64, job string, outcome Outcome) EndedRun {
+	return EndedRun{Number: number, Run: runOf(job), Outcome: outcome}
 }
 
 func withEnds(list ...EndedRun) func(*Call) { return func(c *Call) { c.Ended = list } }
@@ -285,7 +285,7 @@
 			p.deliver(wire.HeartbeatReply{ID: row.id(p), Result: state.Result{Heartbeat: o}, Replicas: []string{"bad"}})
 			told := p.callAgent(nil)
 			p.equal("told", told, CallReply{NextCallIn: 100 * ms})
-			p.equal("keepers", p.agent.replicas, []string(nil))
+			p.equal("keepers", p.agent.replicas.known, []string(nil))
 		})
 	}
 }
@@ -754,7 +754,7 @@
 		p.equal("not yet", len(p.reports), count)
 		p.advance(ms)
 		p.equal("sent", len(p.reports), count+1)
-		p.equal("after", p.agent.worker.lastReportAt-at, want)
+		p.equal("after", p.agent.worker.reports.sentAt-at, want)
 		to = append(to, p.targets[len(p.targets)-1])
 	}
 	p.equal("to", to, []string{"k9", "k1", "k2", "k3", "k8"})
@@ -774,7 +774,7 @@
 			p.reject(status.NotPrimary, 0, "")
 		}
 		p.advance(500 * ms)
-		at[p.agent.worker.lastReportAt/(10*ms)]++
+		at[p.agent.worker.reports.sentAt/(10*ms)]++
 	}
 	for when, count := range at {
 		if count > 30 {
@@ -819,7 +819,7 @@
 			p.callAgent(func(c *Call) { c.Free.Cores = (c.Free.Cores + 1) % 8 })
 			p.advance(ms)
 		}
-		sent, count := p.agent.worker.lastReportAt, len(p.reports)
+		sent, count := p.agent.worker.reports.sentAt, len(p.reports)
 		for p.now < sent+row.pace-ms {
 			p.callAgent(func(c *Call) { c.Free.Cores = (c.Free.Cores + 1) % 8 })
 			p.advance(ms)
--- /dev/null
+++ b/core/agent/calls.go
@@ -0,0 +1,172 @@
+package agent
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+)
+
+const (
+	// noOrders is the call number of a reply that carries no orders.
+	noOrders = 0
+	// maxDepartedNames bounds the names of departed workers that are remembered.
+	maxDepartedNames = 64
+)
+
+// departedWorkers remembers workers that were removed. Their late calls are
+// answered without orders: they must not take the place of the one that calls now.
+type departedWorkers struct {
+	names []string
+	// last is the last call of the worker removed last, if no other has come since.
+	last Call
+}
+
+// add remembers a name; the oldest is dropped when there are too many.
+func (d *departedWorkers) add(name string) {
+	if d.names = append(d.names, name); len(d.names) > maxDepartedNames {
+		d.names = d.names[1:]
+	}
+}
+
+// isLate reports whether a call was made by a worker that has departed.
+func (d *departedWorkers) isLate(call Call) bool {
+	return slices.Contains(d.names, call.Worker) || call.Worker == d.last.Worker && call.Number <= d.last.Number
+}
+
+// handleRequest answers a call or a leave request.
+func (a *Agent) handleRequest(now time.Duration, request machine.Request, out *machine.Output) {
+	reply := a.emptyReply()
+	switch request.Kind {
+	case RequestCall:
+		if call, ok := request.Decoded.(Call); ok && call.Worker != "" {
+			reply = a.handleCall(now, call, out)
+		}
+	case RequestLeave:
+		name := request.Name
+		if name == "" {
+			name, _ = request.Decoded.(string)
+		}
+		if w := a.worker; w != nil && w.lastCall.Worker == name {
+			w.leaving, w.reports.dirty, w.lastCallAt = true, true, now
+			a.withdrawExpiredStarts(now, w, out)
+			reply = a.replyToCall(now, w, noOrders)
+		}
+	}
+	out.Respond(request.ID, reply)
+}
+
+// handleCall takes over what a call says and answers it. A call that comes after a
+// later one, or from a departed worker, changes nothing and gets no orders.
+func (a *Agent) handleCall(now time.Duration, call Call, out *machine.Output) CallReply {
+	a.counters.Calls++
+	if a.departed.isLate(call) {
+		return a.emptyReply()
+	}
+	w := a.worker
+	if w == nil || w.lastCall.Worker != call.Worker {
+		w = a.replaceWorker(now, call, out)
+	} else if call.Number <= w.lastCall.Number {
+		return a.replyToCall(now, w, noOrders)
+	}
+	a.recordCall(now, w, call, out)
+	return a.replyToCall(now, w, call.Number)
+}
+
+// recordCall brings a worker's state up to date with its call, and marks it for a
+// report if something changed that must not wait.
+func (a *Agent) recordCall(now time.Duration, w *worker, call Call, out *machine.Output) {
+	before := w.urgentState()
+	propertiesChanged := w.propertiesChanged(call)
+	freeChanged := w.lastCall.Free != call.Free
+	w.lastCall, w.lastCallAt, w.endAcknowledged, w.lossLogged = call, now, false, false
+	w.capacity = w.capacity.Max(call.Free)
+	endsChanged := w.ends.record(call.Ended)
+	a.settleListedStarts(now, w, out)
+	w.ends.dropAgentEnds(w.lists)
+	after := w.urgentState()
+	runningChanged := !maps.Equal(before.running, after.running)
+	if propertiesChanged || endsChanged || runningChanged || freeChanged && before.free != after.free {
+		w.reports.dirty = true
+	}
+	a.withdrawExpiredStarts(now, w, out)
+	w.forgetEndedRuns()
+}
+
+// replaceWorker begins with a worker that calls for the first time. The one before
+// it departs: at the same address it has ended, since two workers can't share an
+// address; elsewhere it may run until its last grant has passed.
+func (a *Agent) replaceWorker(now time.Duration, call Call, out *machine.Output) *worker {
+	if previous := a.worker; previous != nil {
+		previous.leaving, previous.reports.dirty = true, true
+		previous.replaced = previous.lastCall.Address == call.Address
+		a.withdrawExpiredStarts(now, previous, out)
+		a.departed.add(previous.lastCall.Worker)
+		a.departing = append(a.departing, previous)
+		if previous.reports.number == 0 && previous.ends.openCount() == 0 {
+			a.removeWorker(previous)
+		}
+	}
+	if last := a.departed.last.Worker; last != "" && last != call.Worker {
+		a.departed.add(last)
+	}
+	a.departed.last = Call{}
+	out.Log("worker_new", "worker", call.Worker, "address", call.Address)
+	a.worker = newWorker(now, call)
+	return a.worker
+}
+
+// removeWorker drops a worker whose end the primary has acknowledged.
+func (a *Agent) removeWorker(w *worker) {
+	a.departing = slices.DeleteFunc(a.departing, func(other *worker) bool { return other == w })
+	if a.worker == w {
+		a.worker, a.departed.last = nil, w.lastCall
+	}
+}
+
+// emptyReply returns a reply that grants and orders nothing.
+func (a *Agent) emptyReply() CallReply {
+	return CallReply{NextCallIn: a.config.CallInterval, FencingEpoch: a.fencingEpoch}
+}
+
+// replyToCall grants what remains of the lease and, unless the call number is
+// noOrders, hands over the pending orders.
+func (a *Agent) replyToCall(now time.Duration, w *worker, callNumber uint64) CallReply {
+	reply := a.emptyReply()
+	reply.LeaseRemaining = max(0, w.leaseExpiry-now)
+	reply.AcknowledgedEnds = w.ends.acknowledgedUpTo()
+	w.grantedUntil = max(w.grantedUntil, withClockDrift(now, reply.LeaseRemaining))
+	if callNumber == noOrders {
+		return reply
+	}
+	reply.Stops = slices.Clone(w.stops)
+	for _, start := range w.pendingStarts {
+		if start.withdrawn {
+			continue
+		}
+		if !start.handedOver {
+			a.counters.Starts++
+		}
+		start.handedOver, start.lastCallNumber = true, callNumber
+		reply.Starts = append(reply.Starts, StartOrder{start.Attempt, start.Payload, start.Checkpoint})
+	}
+	return reply
+}
+
+// urgentState is the part of a worker's state whose changes are reported at once.
+// A start that was reported as pending stays the same when the worker lists it.
+type urgentState struct {
+	running map[state.Attempt]bool
+	free    state.Resources
+}
+
+func (w *worker) urgentState() urgentState {
+	running := w.running()
+	urgent := urgentState{make(map[state.Attempt]bool, len(running)), w.freeResources()}
+	for _, attempt := range running {
+		urgent.running[attempt] = true
+	}
+	return urgent
+}
--- /dev/null
+++ b/core/agent/ends.go
@@ -0,0 +1,112 @@
+package agent
+
+import (
+	"maps"
+	"slices"
+
+	"sorrelloom/core/state"
+)
+
+// endLog holds the ends of a worker's runs until the primary acknowledges them.
+type endLog struct {
+	// unacknowledged are the ends that the worker reported, by their numbers.
+	unacknowledged map[uint64]state.AttemptResult
+	// acknowledged are the numbers of acknowledged ends that the worker still lists.
+	acknowledged map[uint64]bool
+	// lastNumber is the highest number that the worker reported.
+	lastNumber uint64
+	// agentEnds are those of starts that never became a run, which the agent reports
+	// on its own account.
+	agentEnds []state.AttemptResult
+}
+
+func newEndLog() endLog {
+	return endLog{unacknowledged: map[uint64]state.AttemptResult{}, acknowledged: map[uint64]bool{}}
+}
+
+// record adds the new ends of those that a call lists, and reports whether there
+// are any.
+func (l *endLog) record(listed []EndedRun) (changed bool) {
+	acknowledged := map[uint64]bool{}
+	for _, end := range listed {
+		if l.acknowledged[end.Number] {
+			acknowledged[end.Number] = true
+		}
+		_, known := l.unacknowledged[end.Number]
+		if known || l.acknowledged[end.Number] || end.Number == 0 {
+			continue
+		}
+		l.unacknowledged[end.Number] = resultOf(end)
+		l.lastNumber = max(l.lastNumber, end.Number)
+		changed = true
+	}
+	l.acknowledged = acknowledged
+	return changed
+}
+
+func resultOf(end EndedRun) state.AttemptResult {
+	return state.AttemptResult{
+		Attempt:    end.Attempt,
+		Succeeded:  end.Outcome == OutcomeSucceeded,
+		Stopped:    end.Outcome == OutcomeStopped,
+		Lost:       end.Outcome == OutcomeLost,
+		Reason:     end.Reason,
+		Checkpoint: end.Checkpoint,
+		Percent:    end.Percent,
+	}
+}
+
+// acknowledgedUpTo returns the number up to which the primary has acknowledged
+// every end. What the worker doesn't list any more was acknowledged before.
+func (l *endLog) acknowledgedUpTo() uint64 {
+	number := l.lastNumber
+	for open := range l.unacknowledged {
+		number = min(number, open-1)
+	}
+	return number
+}
+
+// acknowledge drops the ends that the primary acknowledges. Of the agent's own, only
+// those that the report carried are meant: a later one of the same attempt is kept.
+func (l *endLog) acknowledge(sent *report, acks []state.Attempt) {
+	for _, number := range sent.endNumbers {
+		if slices.Contains(acks, l.unacknowledged[number].Attempt) {
+			delete(l.unacknowledged, number)
+			l.acknowledged[number] = true
+		}
+	}
+	l.agentEnds = slices.DeleteFunc(l.agentEnds, func(end state.AttemptResult) bool {
+		return slices.Contains(acks, end.Attempt) && slices.Contains(sent.heartbeat.Ended, end)
+	})
+}
+
+// addLost adds a start that never became a run.
+func (l *endLog) addLost(attempt state.Attempt, reason string) {
+	l.agentEnds = append(l.agentEnds, state.AttemptResult{Attempt: attempt, Lost: true, Reason: reason})
+}
+
+// dropAgentEnds drops the agent's own ends of attempts that the worker does list:
+// its word counts, not the agent's.
+func (l *endLog) dropAgentEnds(listed func(state.Attempt) bool) {
+	l.agentEnds = slices.DeleteFunc(l.agentEnds, func(end state.AttemptResult) bool { return listed(end.Attempt) })
+}
+
+// hasAgentEnd reports whether the agent reports the end of an attempt on its own.
+func (l *endLog) hasAgentEnd(attempt state.Attempt) bool {
+	return slices.ContainsFunc(l.agentEnds, func(end state.AttemptResult) bool { return end.Attempt == attempt })
+}
+
+// openNumbers returns the numbers of the unacknowledged ends, in ascending order.
+func (l *endLog) openNumbers() []uint64 { return slices.Sorted(maps.Keys(l.unacknowledged)) }
+
+// results returns the ends with the given numbers, and after them the agent's own.
+func (l *endLog) results(numbers []uint64) []state.AttemptResult {
+	var results []state.AttemptResult
+	for _, number := range numbers {
+		results = append(results, l.unacknowledged[number])
+	}
+	return append(results, l.agentEnds...)
+}
+
+// openCount returns how many ends are not acknowledged.
+func (l *endLog) openCount() int { return len(l.unacknowledged) + len(l.agentEnds) }
--- /dev/null
+++ b/core/agent/reply.go
@@ -0,0 +1,180 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
+	"sorrelloom/core/wire"
+)
+
+const (
+	// replyTimeout is after what time a reply does not count any more.
+	replyTimeout = 2 * time.Second
+	// retryDelay is the pause after a report that its replica could not take yet.
+	retryDelay = 100 * time.Millisecond
+	// minRedirectDelay and maxRedirectDelay bound the pause before another replica is
+	// asked; it doubles with every rejection, at most maxDoublings times.
+	minRedirectDelay = 60 * time.Millisecond
+	maxRedirectDelay = 300 * time.Millisecond
+	maxDoublings     = 4
+	// rejectionsPerReplica is after how many rejections a replica that names no other
+	// is left.
+	rejectionsPerReplica = 5
+	// maxReportInterval bounds the interval that the primary may ask for.
+	maxReportInterval = 200 * time.Millisecond
+	// maxDeferral bounds the pause that an overloaded replica may ask for.
+	maxDeferral = time.Second
+)
+
+// handleReply takes over the primary's answer to the report in flight. Any other
+// reply is ignored.
+func (a *Agent) handleReply(now time.Duration, reply wire.HeartbeatReply, out *machine.Output) {
+	w := a.awaiting(reply.ID)
+	if w == nil || now-w.reports.inFlight.sentAt > replyTimeout {
+		return
+	}
+	sent := w.reports.inFlight
+	w.reports.inFlight = nil
+	a.replicas.set(reply.Replicas)
+	if !reply.Result.Code.IsSuccess() {
+		a.handleRejection(now, w, sent, reply, out)
+		return
+	}
+	if a.primary != sent.target {
+		out.Log("primary_changed", "to", sent.target, "from", a.primary)
+		a.primary = sent.target
+	}
+	a.replied, a.lastReplyAt, a.rejections = true, now, 0
+	a.reportInterval = min(reply.Result.RetryAfter, maxReportInterval)
+	a.takeOrders(now, w, sent, reply.Result.Heartbeat, out)
+}
+
+// awaiting returns the worker whose report in flight has the ID, or nil.
+func (a *Agent) awaiting(reportID uint64) *worker {
+	for _, w := range a.workers() {
+		if w.reports.inFlight != nil && w.reports.inFlight.id == reportID {
+			return w
+		}
+	}
+	return nil
+}
+
+// takeOrders takes over lease, acknowledgements and orders of a reply. A worker
+// whose end is acknowledged is removed, unless it only fell silent and may call
+// again.
+func (a *Agent) takeOrders(
+	now time.Duration, w *worker, sent *report, orders state.HeartbeatReply, out *machine.Output,
+) {
+	a.fencingEpoch = max(a.fencingEpoch, orders.Epoch)
+	a.leaseDuration = max(a.leaseDuration, orders.LeaseDuration)
+	w.leaseExpiry = max(w.leaseExpiry, sent.sentAt+orders.LeaseDuration)
+	w.ends.acknowledge(sent, orders.Acks)
+	for _, progress := range sent.heartbeat.Progress {
+		w.checkpoints[progress.Attempt] = progress.Checkpoint
+	}
+	for _, attempt := range orders.Stops {
+		a.handleStop(w, attempt, out)
+	}
+	dropped := a.takeStarts(now, w, sent, orders.Starts, out)
+	if !sent.noRuns || dropped || !a.allRunsEnded(now, w) {
+		return
+	}
+	w.endAcknowledged = true
+	if w.replaced || w.leaving {
+		a.removeWorker(w)
+	}
+}
+
+// handleRejection turns to the replica that leads, or takes over the number that
+// comes next, or waits for as long as an overloaded replica asks.
+func (a *Agent) handleRejection(
+	now time.Duration, w *worker, sent *report, reply wire.HeartbeatReply, out *machine.Output,
+) {
+	code, orders := reply.Result.Code, reply.Result.Heartbeat
+	if code == status.QueueFull && reply.Result.RetryAfter > 0 {
+		a.replied, a.lastReplyAt = true, now
+		w.leaseExpiry = max(w.leaseExpiry, sent.sentAt+orders.LeaseDuration)
+		w.reports.backoffUntil, w.reports.dirty = now+min(reply.Result.RetryAfter, maxDeferral), true
+		return
+	}
+	a.rejections++
+	unavailable := code == status.StaleEpoch || code == status.ReplicasUnavailable
+	switch {
+	case code == status.StaleHeartbeat && orders.HeartbeatNumber > 0:
+		w.reports.number = max(w.reports.number, orders.HeartbeatNumber)
+	case code == status.StaleHeartbeat, unavailable && a.rejections%rejectionsPerReplica > 0:
+		w.reports.backoffUntil = now + a.withJitter(retryDelay)
+	case code == status.Malformed && sent.noRuns && (w.replaced || w.leaving):
+		out.Log("worker_forgotten", "worker", w.lastCall.Worker, "reason", reply.Result.Reason)
+		a.removeWorker(w)
+	default:
+		a.redirect(now, w, sent, reply.Primary)
+	}
+}
+
+// redirect turns to the primary that a rejection names, or else to the next
+// replica, unless another report has done so already.
+func (a *Agent) redirect(now time.Duration, w *worker, sent *report, primary string) {
+	delay := min(minRedirectDelay<<min(a.rejections-1, maxDoublings), maxRedirectDelay)
+	w.reports.backoffUntil = now + a.withJitter(delay)
+	switch {
+	case sent.target != a.replicas.target:
+	case primary != "" && primary != sent.target:
+		a.replicas.target = primary
+		if a.rejections == 1 {
+			w.reports.backoffUntil = now
+		}
+	default:
+		a.replicas.selectNext()
+	}
+}
+
+// withJitter makes a pause longer by up to half from the second rejection in a row
+// on, so that agents that lose the primary together don't come back together.
+func (a *Agent) withJitter(pause time.Duration) time.Duration {
+	if a.rejections <= 1 {
+		return pause
+	}
+	return pause + time.Duration(a.rng.Int64N(int64(pause/2)))
+}
+
+// replicaSelector chooses the replica that reports go to.
+type replicaSelector struct {
+	// bootstrap are the replicas to begin from, known those that a reply named last.
+	bootstrap []string
+	known     []string
+	// target is the replica that reports go to, "" if there is none.
+	target string
+}
+
+func newReplicaSelector(bootstrap []string) replicaSelector {
+	selector := replicaSelector{bootstrap: bootstrap}
+	if len(bootstrap) > 0 {
+		selector.target = bootstrap[0]
+	}
+	return selector
+}
+
+// set takes over the replicas that a reply names, if it names any.
+func (s *replicaSelector) set(replicas []string) {
+	if len(replicas) > 0 {
+		s.known = slices.Clone(replicas)
+	}
+}
+
+// selectNext goes on to the next replica: first the known ones in turn, then those
+// to begin from.
+func (s *replicaSelector) selectNext() {
+	all := slices.Clone(s.known)
+	for _, replica := range s.bootstrap {
+		if !slices.Contains(all, replica) {
+			all = append(all, replica)
+		}
+	}
+	if len(all) > 0 {
+		s.target = all[(slices.Index(all, s.target)+1)%len(all)]
+	}
+}
--- /dev/null
+++ b/core/agent/worker.go
@@ -0,0 +1,149 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"sorrelloom/core/state"
+)
+
+const (
+	// clockDriftPercent and clockDriftMargin bound how much later than by the agent's
+	// clock a grant may end by the worker's.
+	clockDriftPercent = 3
+	clockDriftMargin  = 100 * time.Millisecond
+)
+
+// worker is one incarnation of the worker, as known from its calls and from the
+// replies to its reports.
+type worker struct {
+	lastCall Call
+	// capacity is the most that the worker ever reported as free.
+	capacity    state.Resources
+	firstCallAt time.Duration
+	lastCallAt  time.Duration
+
+	// leaseExpiry is the end of the lease that the primary granted.
+	leaseExpiry time.Duration
+	// grantedUntil is until when the worker may run by what it was told, on a clock
+	// as slow as may be.
+	grantedUntil time.Duration
+	// inheritedRuns says that it ran something before its first call here.
+	inheritedRuns bool
+
+	// leaving says that it said so, or that another worker calls now.
+	leaving bool
+	// replaced says that another worker is at its address, so that it has ended.
+	replaced bool
+	// endAcknowledged says that the primary knows that it runs nothing any more.
+	endAcknowledged bool
+	lossLogged      bool
+
+	pendingStarts []*pendingStart
+	stops         []state.Attempt
+	ends          endLog
+	// checkpoints are those that the primary knows, by attempt.
+	checkpoints map[state.Attempt]string
+
+	reports reportState
+}
+
+// newWorker returns the state of a worker before its first call is recorded.
+func newWorker(now time.Duration, call Call) *worker {
+	return &worker{
+		firstCallAt:   now,
+		inheritedRuns: len(call.Running) > 0,
+		ends:          newEndLog(),
+		checkpoints:   map[state.Attempt]string{},
+		reports:       reportState{dirty: true},
+	}
+}
+
+// withClockDrift returns when a duration that begins now has passed by every clock.
+func withClockDrift(now, duration time.Duration) time.Duration {
+	return now + duration + duration*clockDriftPercent/100 + clockDriftMargin
+}
+
+// propertiesChanged reports whether a call differs from the last one in the
+// properties of the worker, which are reported at once.
+func (w *worker) propertiesChanged(call Call) bool {
+	previous := &w.lastCall
+	return previous.Leaving != call.Leaving ||
+		previous.LeavesIn == 0 && call.LeavesIn != 0 ||
+		previous.Service != call.Service ||
+		previous.Zone != call.Zone ||
+		previous.Rack != call.Rack ||
+		previous.Address != call.Address ||
+		!slices.Equal(previous.Labels, call.Labels)
+}
+
+// lists reports whether the last call lists an attempt as running or ended.
+func (w *worker) lists(attempt state.Attempt) bool {
+	isRunning := slices.ContainsFunc(w.lastCall.Running, func(r Run) bool { return r.Attempt == attempt })
+	return isRunning || w.hasEnded(attempt)
+}
+
+// hasEnded reports whether the last call lists an attempt as ended.
+func (w *worker) hasEnded(attempt state.Attempt) bool {
+	return slices.ContainsFunc(w.lastCall.Ended, func(e EndedRun) bool { return e.Attempt == attempt })
+}
+
+// knows reports whether a start of an attempt was taken before.
+func (w *worker) knows(attempt state.Attempt) bool {
+	return w.lists(attempt) || w.pendingIndex(attempt) >= 0 || w.ends.hasAgentEnd(attempt)
+}
+
+// running returns the attempts that the worker runs or may run.
+func (w *worker) running() []state.Attempt {
+	var attempts []state.Attempt
+	for _, run := range w.lastCall.Running {
+		if !w.hasEnded(run.Attempt) {
+			attempts = append(attempts, run.Attempt)
+		}
+	}
+	for _, start := range w.pendingStarts {
+		attempts = append(attempts, start.Attempt)
+	}
+	return attempts
+}
+
+// progress returns the checkpoints that the primary doesn't know yet.
+func (w *worker) progress() []state.Progress {
+	var progress []state.Progress
+	for _, run := range w.lastCall.Running {
+		if !w.hasEnded(run.Attempt) && run.Checkpoint != w.checkpoints[run.Attempt] {
+			progress = append(progress, state.Progress{
+				Attempt: run.Attempt, Checkpoint: run.Checkpoint, Percent: run.Percent,
+			})
+		}
+	}
+	return progress
+}
+
+// freeResources returns what the worker reports as free, less the starts that it
+// does not count yet.
+func (w *worker) freeResources() state.Resources {
+	free := w.lastCall.Free
+	for _, start := range w.pendingStarts {
+		free = free.Sub(start.Resources)
+	}
+	return state.Resources{
+		Slots:        max(0, free.Slots),
+		Cores:        max(0, free.Cores),
+		MemoryMB:     max(0, free.MemoryMB),
+		Accelerators: max(0, free.Accelerators),
+	}
+}
+
+// forgetEndedRuns drops the stops and checkpoints of attempts that don't run.
+func (w *worker) forgetEndedRuns() {
+	running := w.running()
+	w.stops = slices.DeleteFunc(w.stops, func(attempt state.Attempt) bool {
+		return !slices.Contains(running, attempt)
+	})
+	for attempt := range w.checkpoints {
+		if !slices.Contains(running, attempt) {
+			delete(w.checkpoints, attempt)
+		}
+	}
+}
--- a/tool/scale/worker.go
+++ b/tool/scale/worker.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (w *hollowWorker) endRun(attempt state.Attempt, outcome string) {
+func (w *hollowWorker) endRun(attempt state.Attempt, outcome agent.Outcome) {
 	delete(w.running, attempt)
 	w.lastEndNumber++
 	w.unackedEnds = append(w.unackedEnds, agent.EndedRun{
--- a/tool/sim/agent_runs.go
+++ b/tool/sim/agent_runs.go
@@ -32,7 +32,7 @@
 )
 
 // agentOutcomes are the outcomes in the contract of core/agent.
-var agentOutcomes = map[string]string{
+var agentOutcomes = map[string]agent.Outcome{
 	fakeworker.OutcomeSucceeded: agent.OutcomeSucceeded,
 	fakeworker.OutcomeFailed:    agent.OutcomeFailed,
 	fakeworker.OutcomeStopped:   agent.OutcomeStopped,
@@ -134,7 +134,7 @@
 }
 
 // reportEnd has an end reported from the next call on.
-func (w *simAgentWorker) reportEnd(ended agent.Run, outcome, reason string) {
+func (w *simAgentWorker) reportEnd(ended agent.Run, outcome agent.Outcome, reason string) {
 	w.lastEndNumber++
 	w.unackedEnds = append(w.unackedEnds, agent.EndedRun{
 		Number: w.lastEndNumber, Run: ended, Outcome: outcome, Reason: reason,
