--- /dev/null
+++ b/core/agent/ends_test.go
@@ -0,0 +1,62 @@
+package agent
+
+import (
+	"testing"
+
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
+	"sorrelloom/core/wire"
+)
+
+// TestEndsAreAcknowledgedOnlyAfterTheCore has the worker see an end acknowledged only
+// once the primary has acknowledged it and all before it.
+func TestEndsAreAcknowledgedOnlyAfterTheCore(t *testing.T) {
+	h := newHarness(t, 1)
+	h.callAgent(withRuns("a", "b", "c"))
+	h.advance(20 * ms)
+	h.accept(state.HeartbeatReply{})
+	h.advance(20 * ms)
+	list := []EndedRun{endOf(1, "a", OutcomeSucceeded), endOf(2, "b", OutcomeFailed), endOf(3, "c", OutcomeStopped)}
+	list[1].Checkpoint, list[1].Percent, list[1].Reason = "half", 50, "broke"
+	h.equal("acknowledged", h.callAgent(withEnds(list...)).AcknowledgedEnds, uint64(0))
+	h.equal("at once", h.heartbeat().Ended, []state.AttemptResult{
+		{Attempt: attemptOf("a"), Succeeded: true},
+		{Attempt: attemptOf("b"), Reason: "broke", Checkpoint: "half", Percent: 50},
+		{Attempt: attemptOf("c"), Stopped: true},
+	})
+	h.equal("run no more", jobsOf(h.heartbeat().Running), []string(nil))
+	h.advance(20 * ms)
+	h.accept(state.HeartbeatReply{Acks: attemptsOf("b", "c")})
+	h.equal("the first is open", h.callAgent(nil).AcknowledgedEnds, uint64(0))
+	h.advance(20 * ms)
+	h.equal("the first again", jobsOfEnds(h.heartbeat().Ended), []string{"a"})
+	h.reject(status.ReplicasUnavailable, 0, "")
+	h.equal("a rejection acknowledges nothing", h.callAgent(nil).AcknowledgedEnds, uint64(0))
+	h.advance(200 * ms)
+	h.callAgent(withEnds(append(list, endOf(4, "d", OutcomeLost))...))
+	stale := state.Result{Heartbeat: state.HeartbeatReply{Acks: attemptsOf("a")}}
+	h.deliver(wire.HeartbeatReply{ID: h.lastReport().ID - 1, Result: stale})
+	h.equal("a stale reply acknowledges nothing", h.callAgent(nil).AcknowledgedEnds, uint64(0))
+	h.advance(20 * ms)
+	h.accept(state.HeartbeatReply{Acks: attemptsOf("a")})
+	h.equal("all but the last", h.callAgent(nil).AcknowledgedEnds, uint64(3))
+	h.advance(20 * ms)
+	h.equal("the last", h.heartbeat().Ended, []state.AttemptResult{{Attempt: attemptOf("d"), Lost: true}})
+	h.accept(state.HeartbeatReply{Acks: attemptsOf("d")})
+	h.equal("all", h.callAgent(withEnds()).AcknowledgedEnds, uint64(4))
+}
+
+// TestProgressIsReportedUntilAcknowledged rejects a report with a checkpoint first.
+func TestProgressIsReportedUntilAcknowledged(t *testing.T) {
+	h := newHarness(t, 1)
+	h.callAgent(func(c *Call) { c.Running = []Run{{attemptOf("r"), "s1", 10}, runOf("q")} })
+	want := []state.Progress{{Attempt: attemptOf("r"), Checkpoint: "s1", Percent: 10}}
+	h.equal("progress", h.heartbeat().Progress, want)
+	h.reject(status.ReplicasUnavailable, 0, "")
+	h.advance(120 * ms)
+	h.equal("again", h.heartbeat().Progress, want)
+	h.advance(20 * ms)
+	h.accept(state.HeartbeatReply{})
+	h.advance(20 * ms)
+	h.equal("acknowledged", len(h.heartbeat().Progress), 0)
+}
--- /dev/null
+++ b/core/agent/harness_test.go
@@ -0,0 +1,225 @@
+package agent
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
+	"sorrelloom/core/wire"
+)
+
+const (
+	ms    = time.Millisecond
+	lease = 6 * time.Second
+)
+
+// harness drives one agent: it advances the clock, makes the worker's calls and the
+// primary's replies, and records what the agent reports.
+type harness struct {
+	*testing.T
+	agent   *Agent
+	now     time.Duration
+	call    Call
+	lastKey uint64
+	// reports are those sent, in their order, and targets the replicas they went to.
+	reports []wire.HeartbeatRequest
+	targets []string
+	// events are the names of the log events.
+	events []string
+}
+
+// newHarness returns an agent with three replicas that no worker has called yet.
+func newHarness(t *testing.T, first uint64) *harness {
+	h := &harness{T: t, now: time.Second}
+	h.agent = New(Config{Address: "agent", Zone: "s", Replicas: []string{"k1", "k2", "k3"}, FirstReportID: first})
+	h.call = Call{Worker: "w", Address: "here", Service: "v", Free: state.Resources{Slots: 4, Cores: 8}}
+	return h
+}
+
+// step has the agent take one input, and records its reports and log events.
+func (h *harness) step(in machine.Input) machine.Output {
+	out := h.agent.Step(h.now, in)
+	for _, message := range out.Messages {
+		if message.Kind != wire.KindHeartbeat {
+			h.Fatalf("a message of kind %s was sent", message.Kind)
+		}
+		h.reports = append(h.reports, message.Body.(wire.HeartbeatRequest))
+		h.targets = append(h.targets, message.To)
+	}
+	for _, event := range out.LogEvents {
+		h.events = append(h.events, event.Name)
+	}
+	return out
+}
+
+// advance lets time pass, with a step whenever the agent's timer is due.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; ; {
+		at := h.agent.NextTimer()
+		if at == 0 || at > end {
+			h.now = end
+			return
+		}
+		if at <= h.now {
+			h.Fatalf("a timer at %s is not after %s", at, h.now)
+		}
+		h.now = at
+		h.step(machine.Input{})
+	}
+}
+
+// request has the agent answer one request.
+func (h *harness) request(in machine.Request) CallReply {
+	h.lastKey++
+	in.ID = h.lastKey
+	out := h.step(machine.Input{Request: in})
+	if len(out.Responses) != 1 || out.Responses[0].RequestID != in.ID {
+		h.Fatalf("the answers to request %d are %+v", in.ID, out.Responses)
+	}
+	return out.Responses[0].Body.(CallReply)
+}
+
+// callAgent makes the worker's next call, after a change to what it says.
+func (h *harness) callAgent(change func(c *Call)) CallReply {
+	h.call.Number++
+	if change != nil {
+		change(&h.call)
+	}
+	return h.request(machine.Request{Kind: RequestCall, Decoded: h.call})
+}
+
+// lastReport returns the report sent last.
+func (h *harness) lastReport() wire.HeartbeatRequest {
+	h.Helper()
+	if len(h.reports) == 0 {
+		h.Fatal("nothing was reported")
+	}
+	return h.reports[len(h.reports)-1]
+}
+
+// heartbeat returns what the report sent last says.
+func (h *harness) heartbeat() state.Heartbeat {
+	h.Helper()
+	return h.lastReport().Heartbeat
+}
+
+// deliver has the agent receive a reply.
+func (h *harness) deliver(reply wire.HeartbeatReply) {
+	h.step(machine.Input{Message: machine.Message{
+		Version: 1, Kind: wire.KindHeartbeatReply, From: "k1", Body: machine.MustMarshal(reply),
+	}})
+}
+
+// accept answers the last report with orders, and with a lease if they name none.
+func (h *harness) accept(orders state.HeartbeatReply) {
+	if orders.LeaseDuration == 0 {
+		orders.LeaseDuration = lease
+	}
+	h.deliver(wire.HeartbeatReply{ID: h.lastReport().ID, Result: state.Result{Heartbeat: orders}})
+}
+
+// reject answers the last report with a code other than success.
+func (h *harness) reject(code status.Code, number uint64, primary string, replicas ...string) {
+	h.deliver(wire.HeartbeatReply{
+		ID:       h.lastReport().ID,
+		Result:   state.Result{Code: code, Heartbeat: state.HeartbeatReply{HeartbeatNumber: number}},
+		Primary:  primary,
+		Replicas: replicas,
+	})
+}
+
+// equal compares two values; all empty slices are equal.
+func (h *harness) equal(what string, got, want any) {
+	h.Helper()
+	if v := reflect.ValueOf(want); v.Kind() == reflect.Slice && v.Len() == 0 && reflect.ValueOf(got).Len() == 0 {
+		return
+	}
+	if !reflect.DeepEqual(got, want) {
+		h.Errorf("%s: %+v, not %+v", what, got, want)
+	}
+}
+
+func attemptOf(job string) state.Attempt { return state.Attempt{Job: job, Task: "t", Number: 1} }
+
+func attemptsOf(jobs ...string) (attempts []state.Attempt) {
+	for _, job := range jobs {
+		attempts = append(attempts, attemptOf(job))
+	}
+	return attempts
+}
+
+func startOf(job string) state.StartOrder {
+	return state.StartOrder{
+		Attempt:    attemptOf(job),
+		Resources:  state.Resources{Slots: 1, Cores: 2},
+		Payload:    json.RawMessage(`{"x":1}`),
+		Checkpoint: "from",
+	}
+}
+
+func ordersToStart(jobs ...string) (orders state.HeartbeatReply) {
+	for _, job := range jobs {
+		orders.Starts = append(orders.Starts, startOf(job))
+	}
+	return orders
+}
+
+func runOf(job string) Run { return Run{Attempt: attemptOf(job)} }
+
+// withRuns changes a call so that it lists just these jobs as running.
+func withRuns(jobs ...string) func(*Call) {
+	return func(c *Call) {
+		c.Running = nil
+		for _, job := range jobs {
+			c.Running = append(c.Running, runOf(job))
+		}
+	}
+}
+
+func endOf(number uint64, job string, outcome Outcome) EndedRun {
+	return EndedRun{Number: number, Run: runOf(job), Outcome: outcome}
+}
+
+// withEnds changes a call so that it lists just these ends.
+func withEnds(list ...EndedRun) func(*Call) { return func(c *Call) { c.Ended = list } }
+
+func startedJobs(reply CallReply) (jobs []string) {
+	for _, start := range reply.Starts {
+		jobs = append(jobs, start.Job)
+	}
+	return jobs
+}
+
+func jobsOf(attempts []state.Attempt) (jobs []string) {
+	for _, attempt := range attempts {
+		jobs = append(jobs, attempt.Job)
+	}
+	return jobs
+}
+
+func lostJobs(heartbeat state.Heartbeat) (jobs []string) {
+	for _, end := range heartbeat.Ended {
+		if end.Lost {
+			jobs = append(jobs, end.Job)
+		}
+	}
+	return jobs
+}
+
+// acceptStartA has the worker call and the primary order the start of job a.
+func acceptStartA(h *harness) {
+	h.callAgent(nil)
+	h.advance(20 * ms)
+	h.accept(ordersToStart("a"))
+}
+
+func jobsOfEnds(ends []state.AttemptResult) (jobs []string) {
+	for _, end := range ends {
+		jobs = append(jobs, end.Job)
+	}
+	return jobs
+}
