--- /dev/null
+++ b/core/leaderclient/commands_test.go
@@ -0,0 +1,202 @@
+package leaderclient
+
+import (
+	"testing"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/state"
+	"sorrelloom/core/status"
+	"sorrelloom/core/wire"
+)
+
+// answered has the leader answer the command.
+func answered(code status.Code) func(*harness) {
+	return func(h *harness) { h.reply(20*ms, "k0", "accept", wire.CommandReply{Result: state.Result{Code: code}}) }
+}
+
+// answeredAgain has the first leader lose its leadership, and the next one answer.
+func answeredAgain(kind string, code status.Code) func(*harness) {
+	return func(h *harness) {
+		h.reply(200*ms, "k0", kind, hint("k1"))
+		h.reply(210*ms, "k1", "prove", received)
+		h.want(kind + ">k1")
+		h.reply(220*ms, "k1", kind, wire.CommandReply{Result: state.Result{Code: code}})
+	}
+}
+
+// waitUntil lets time pass.
+func waitUntil(now time.Duration) func(*harness) {
+	return func(h *harness) { h.step(now, machine.Input{}) }
+}
+
+const (
+	accept = state.KindAcceptJob
+	read   = state.KindReadJob
+)
+
+var commandOutcomes = []struct {
+	name string
+	kind string
+	wait time.Duration
+	do   func(*harness)
+	want status.Code
+}{
+	{"good", accept, time.Second, answered(status.OK), status.OK},
+	{"a no", accept, time.Second, answered(status.InvalidJob), status.InvalidJob},
+	{"too much", accept, time.Second, answered(status.QueueFull), status.QueueFull},
+	{"a no to the second copy", accept, time.Second,
+		answeredAgain(accept, status.InvalidJob), status.InvalidJob},
+	{"too much for the second copy", accept, time.Second,
+		answeredAgain(accept, status.QueueFull), status.NoResponse},
+	{"no entry any more for the second copy", accept, time.Second,
+		answeredAgain(accept, status.NoRoute), status.NoResponse},
+	{"no entry", accept, time.Second, answered(status.NoRoute), status.NoRoute},
+	{"no entry any more for a question asked again", read, time.Second,
+		answeredAgain(read, status.NoRoute), status.NoRoute},
+	{"a fault at the second copy", accept, time.Second,
+		answeredAgain(accept, status.Internal), status.NoResponse},
+	{"its time is over", accept, time.Second, waitUntil(1010 * ms), status.NoResponse},
+	{"bounced only, and its time is over", accept, 30 * ms, func(h *harness) {
+		h.reply(20*ms, "k0", "accept", notPrimary)
+		h.step(40*ms, machine.Input{})
+	}, status.NoResponse},
+	{"no word of a primary for long", accept, time.Minute, waitUntil(4001 * ms), status.NoResponse},
+}
+
+// TestCommandOutcome takes one command to its end. It is rejected only where no copy
+// of it can have been accepted.
+func TestCommandOutcome(t *testing.T) {
+	for _, test := range commandOutcomes {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, "k0", "k1", "k2")
+			h.reply(5*ms, "k0", "prove", received)
+			h.submit(10*ms, 7, test.kind, test.wait)
+			h.want(test.kind + ">k0")
+			if result, early := h.answers[7]; early {
+				t.Fatalf("answered at once: %+v", result)
+			}
+			test.do(h)
+			result, ok := h.answers[7]
+			if !ok || result.Code != test.want {
+				t.Fatalf("answered %v with %s, want %s", ok, result.Code, test.want)
+			}
+			if result.Code == status.NoResponse && result.RetryAfter != time.Second {
+				t.Errorf("retry after %s", result.RetryAfter)
+			}
+			if h.client.PendingCount() != 0 {
+				t.Errorf("%d are left pending", h.client.PendingCount())
+			}
+		})
+	}
+}
+
+// TestUnsentCommandExpires has no replica lead: a command is held for as long as a
+// change of leader takes, and is then rejected.
+func TestUnsentCommandExpires(t *testing.T) {
+	table := []struct {
+		name string
+		kind string
+		wait time.Duration
+		held time.Duration
+	}{
+		{"a job", state.KindAcceptJob, 10 * time.Second, maxUnsentWait},
+		{"a question", state.KindReadJob, 10 * time.Second, maxUnsentWait},
+		{"a job whose caller waits for less", state.KindAcceptJob, 300 * ms, 300 * ms},
+	}
+	for _, row := range table {
+		t.Run(row.name, func(t *testing.T) {
+			h := newHarness(t, "k0", "k1", "k2")
+			h.submit(10*ms, 7, row.kind, row.wait)
+			for at := 20 * ms; at < 10*ms+row.held; at += 10 * ms {
+				h.reply(at, h.client.leader.primary, state.KindConfirmLeadership, notPrimary)
+				if _, early := h.answers[7]; early {
+					t.Fatalf("answered at %s", at)
+				}
+			}
+			h.step(10*ms+row.held, machine.Input{})
+			result, ok := h.answers[7]
+			if !ok || result.Code != status.ReplicasUnavailable || result.RetryAfter != retryAfter {
+				t.Errorf("answered %v: %+v", ok, result)
+			}
+			if n := h.counts[row.kind]; n > 0 {
+				t.Errorf("sent %d times", n)
+			}
+		})
+	}
+}
+
+// TestImmediateRejection has a request rejected in the step that takes it.
+func TestImmediateRejection(t *testing.T) {
+	command := machine.Request{Kind: RequestCommand, Decoded: state.Command{}, Wait: time.Second}
+	withoutWait, withoutCommand := command, command
+	withoutWait.Wait, withoutCommand.Decoded = 0, 7
+	table := []struct {
+		name    string
+		at      time.Duration
+		request machine.Request
+		stop    bool
+		want    status.Code
+	}{
+		{"no time left", 10 * ms, withoutWait, false, status.ReplicasUnavailable},
+		{"no primary for long", 4001 * ms, command, false, status.ReplicasUnavailable},
+		{"going down", 10 * ms, command, true, status.ShuttingDown},
+		{"no command", 10 * ms, withoutCommand, false, status.Internal},
+	}
+	for _, test := range table {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, "k0")
+			if test.stop {
+				h.step(5*ms, machine.Input{Stop: true})
+			}
+			test.request.ID = 3
+			h.step(test.at, machine.Input{Request: test.request})
+			result, ok := h.answers[3]
+			if !ok || result.Code != test.want || result.RetryAfter != time.Second {
+				t.Errorf("answered %v: %+v, want %s", ok, result, test.want)
+			}
+		})
+	}
+}
+
+// TestReplyToEarlierIncarnationIsDropped has two incarnations of a process number
+// their commands apart, so that a late reply meets no other command.
+func TestReplyToEarlierIncarnationIsDropped(t *testing.T) {
+	h := newHarness(t, "k0")
+	h.reply(5*ms, "k0", "prove", received)
+	h.submit(10*ms, 1, state.KindAcceptJob, time.Second)
+	late := h.last[state.KindAcceptJob]
+	next := newIncarnation(t, 1<<40, "k0")
+	next.reply(5*ms, "k0", "prove", received)
+	next.submit(10*ms, 1, state.KindReadJob, time.Second)
+	own := next.last[state.KindReadJob]
+	next.last[state.KindReadJob] = late
+	next.reply(12*ms, "k0", state.KindReadJob, success)
+	if len(next.answers) > 0 {
+		t.Fatalf("the reply to %d of the earlier incarnation answers %d", late, own)
+	}
+	next.last[state.KindReadJob] = own
+	next.reply(14*ms, "k0", state.KindReadJob, success)
+	if len(next.answers) != 1 {
+		t.Error("its own reply is not taken")
+	}
+}
+
+// TestCommandCarriesItsDeadline has a command carry how long its caller still waits,
+// and once the time of the replicated state is known, the deadline by it.
+func TestCommandCarriesItsDeadline(t *testing.T) {
+	h := newHarness(t, "k0")
+	h.reply(5*ms, "k0", "prove", received)
+	h.submit(10*ms, 1, state.KindAcceptJob, time.Second)
+	if request := h.requests[0]; request.Timeout != time.Second || request.Deadline != 0 || request.Retry {
+		t.Errorf("before a confirmation: %+v", request)
+	}
+	confirmation := wire.CommandReply{Result: state.Result{Code: status.OK, Time: time.Hour}}
+	h.reply(40*ms, "k0", "prove", confirmation)
+	h.submit(50*ms, 2, state.KindAcceptJob, time.Second)
+	request := h.requests[0]
+	least, most := time.Hour+time.Second+10*ms, time.Hour+time.Second+60*ms
+	if request.Timeout != time.Second || request.Deadline < least || request.Deadline > most {
+		t.Errorf("after a confirmation: timeout %s, deadline %s", request.Timeout, request.Deadline)
+	}
+}
--- /dev/null
+++ b/core/leaderclient/leader_test.go
@@ -0,0 +1,141 @@
+package leaderclient
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
+)
+
+// targetStep is one input of a client and what it sends: a command that it takes, the
+// reply of a replica to its last command of a kind, or nothing but the time.
+type targetStep struct {
+	at     time.Duration
+	submit string
+	from   string
+	kind   string
+	reply  wire.CommandReply
+	want   string
+}
+
+var commandTargets = []struct {
+	name  string
+	steps []targetStep
+}{
+	{"it waits for a keeper that leads, and goes to the next when there is no sign", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: received, want: "accept>k0"},
+		{at: 399 * ms},
+		{at: 500 * ms, want: "prove>k0"},
+		{at: 811 * ms},
+		{at: 912 * ms, want: "prove>k1"},
+		{at: 914 * ms, from: "k1", kind: "prove", reply: received, want: "accept>k1"},
+		{at: 1500 * ms, want: "prove>k1"},
+		{at: 1713 * ms},
+		{at: 1814 * ms, want: "prove>k2"},
+	}},
+	{"it is not sent again while the leader shows signs of life", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: received, want: "accept>k0"},
+		{at: 500 * ms, want: "prove>k0"},
+		{at: 501 * ms, from: "k0", kind: "prove", reply: received},
+		{at: 1000 * ms, want: "prove>k0"},
+		{at: 1001 * ms, from: "k0", kind: "prove", reply: received},
+		{at: 1500 * ms, want: "prove>k0"},
+		{at: 1501 * ms, from: "k0", kind: "prove", reply: received},
+		{at: 2000 * ms, want: "prove>k0"},
+	}},
+	{"it is sent again once what was sent after it is answered, in spans that double", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: received, want: "accept>k0"},
+		{at: 20 * ms, submit: read, want: "read>k0"},
+		{at: 24 * ms, from: "k0", kind: "read", reply: success},
+		{at: 86 * ms},
+		{at: 112 * ms, want: "accept>k0"},
+		{at: 120 * ms, submit: read, want: "read>k0"},
+		{at: 124 * ms, from: "k0", kind: "read", reply: success},
+		{at: 261 * ms},
+		{at: 312 * ms, want: "accept>k0"},
+		{at: 720 * ms, want: "prove>k0"},
+		{at: 721 * ms, from: "k0", kind: "prove", reply: success, want: "accept>k0"},
+	}},
+	{"a hint is followed at once", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: hint("k2"), want: "prove>k2"},
+		{at: 13 * ms, from: "k0", kind: "prove", reply: hint("k1")},
+		{at: 14 * ms, from: "k2", kind: "prove", reply: received, want: "accept>k2"},
+		{at: 15 * ms, from: "k2", kind: "accept", reply: success},
+		{at: 414 * ms},
+		{at: 515 * ms, want: "prove>k2"},
+	}},
+	{"hints in a circle are paced, and no command goes round with them", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 11 * ms, from: "k0", kind: "prove", reply: hint("k1"), want: "prove>k1"},
+		{at: 12 * ms, from: "k1", kind: "prove", reply: hint("k0"), want: "prove>k0"},
+		{at: 13 * ms, from: "k0", kind: "prove", reply: hint("k1")},
+		{at: 52 * ms},
+		{at: 93 * ms, want: "prove>k1"},
+	}},
+	{"a bounce without a hint moves on after a pause", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: notPrimary},
+		{at: 51 * ms},
+		{at: 92 * ms, want: "prove>k1"},
+	}},
+	{"a hint to the one just left for its silence counts for nothing", []targetStep{
+		{at: 799 * ms, want: "prove>k0"},
+		{at: 900 * ms, want: "prove>k1"},
+		{at: 901 * ms, from: "k1", kind: "prove", reply: hint("k0")},
+		{at: 940 * ms},
+		{at: 981 * ms, want: "prove>k2"},
+		{at: 982 * ms, from: "k2", kind: "prove", reply: success},
+		{at: 1381 * ms},
+		{at: 1482 * ms, want: "prove>k2"},
+	}},
+	{"keepers that an answer names replace the list, and those to begin from come after them", []targetStep{
+		{at: 5 * ms, from: "k0", kind: "prove", reply: wire.CommandReply{Replicas: []string{"n0", "n1"}}},
+		{at: 905 * ms, want: "prove>n0"},
+		{at: 1805 * ms, want: "prove>n1"},
+		{at: 2705 * ms, want: "prove>k0"},
+	}},
+	{"traffic that is answered is proof enough", []targetStep{
+		{at: 5 * ms, from: "k0", kind: "prove", reply: success},
+		{at: 300 * ms, submit: read, want: "read>k0"},
+		{at: 304 * ms, from: "k0", kind: "read", reply: success},
+		{at: 505 * ms},
+		{at: 703 * ms},
+		{at: 804 * ms, want: "prove>k0"},
+	}},
+	{"the late answer of one that was left brings the relay back to it", []targetStep{
+		{at: 10 * ms, submit: accept},
+		{at: 12 * ms, from: "k0", kind: "prove", reply: received, want: "accept>k0"},
+		{at: 912 * ms, want: "prove>k1"},
+		{at: 920 * ms, from: "k0", kind: "accept", reply: success},
+		{at: 921 * ms, submit: read, want: "read>k0"},
+	}},
+}
+
+// TestCommandTarget has a client that has probed k0 take inputs one after the other.
+func TestCommandTarget(t *testing.T) {
+	for _, test := range commandTargets {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, "k0", "k1", "k2")
+			h.want("prove>k0")
+			for i, step := range test.steps {
+				switch {
+				case step.submit != "":
+					h.submit(step.at, uint64(i+1), step.submit, 10*time.Second)
+				case step.from != "":
+					h.reply(step.at, step.from, step.kind, step.reply)
+				default:
+					h.step(step.at, machine.Input{})
+				}
+				if got := strings.Join(h.sent, " "); got != step.want {
+					t.Fatalf("step %d: sent %q, want %q", i, got, step.want)
+				}
+			}
+		})
+	}
+}
