--- a/daemon/transport/messages_test.go
+++ b/daemon/transport/messages_test.go
@@ -28,7 +28,7 @@
 // sender is the address in the recorded headers.
 const sender = "127.0.0.1:7000"
 
-// bodyOf gives the type of the body of each kind. Nothing sends found-view so far.
+// bodyOf is the type of the body of each kind. No release has sent found-view.
 var bodyOf = map[string]any{
 	wire.KindShuffle:         wire.Gossip{},
 	wire.KindShuffleReply:    wire.Gossip{},
@@ -53,7 +53,7 @@
 	wire.KindHeartbeatReply:  wire.HeartbeatReply{},
 }
 
-// partOf gives the part of a command that belongs to its kind.
+// partOf copies the part of a command that belongs to its kind.
 var partOf = map[string]func(to *state.Command, from state.Command){
 	state.KindAcceptJob:          func(to *state.Command, from state.Command) { to.Job = from.Job },
 	state.KindHeartbeat:          func(to *state.Command, from state.Command) { to.Heartbeat = from.Heartbeat },
@@ -89,7 +89,7 @@
 	body any
 }
 
-// messages gives each kind with every field set and with none, and those variants
+// messages returns each kind with every field set and with none, and those variants
 // that carry other encodings within them.
 func messages(t *testing.T) []message {
 	t.Helper()
@@ -105,7 +105,7 @@
 	return append(all, carriers(t)...)
 }
 
-// commandOf gives a command of a kind with all fields of that kind set.
+// commandOf returns a command of a kind with all fields of that kind set.
 func commandOf(t *testing.T, kind string) state.Command {
 	t.Helper()
 	filled := goldentest.Filled(t, state.Command{}).(state.Command)
@@ -124,26 +124,26 @@
 	commands := []json.RawMessage{whole, state.Encode(commandOf(t, state.KindTick)).Encoded}
 	replicate := goldentest.Filled(t, wire.ReplicateRequest{}).(wire.ReplicateRequest)
 	replicate.Commands = commands
-	news := goldentest.Filled(t, wire.FeedUpdate{}).(wire.FeedUpdate)
-	committed, records, bounced := news, news, news
+	update := goldentest.Filled(t, wire.FeedUpdate{}).(wire.FeedUpdate)
+	committed, records, rejected := update, update, update
 	committed.Commands, committed.Records, committed.Rejected, committed.Relayed = commands, nil, false, false
 	records.Commands, records.Rejected, records.Relayed = nil, false, false
-	bounced.Commands, bounced.Records, bounced.Relayed = nil, nil, false
+	rejected.Commands, rejected.Records, rejected.Relayed = nil, nil, false
 	relayed := committed
 	relayed.Relayed = true
 	snapshot := goldentest.Filled(t, wire.SnapshotChunk{}).(wire.SnapshotChunk)
-	snapshot.Records = machine.MustJSON(news.Records)
+	snapshot.Records = machine.MustJSON(update.Records)
 	return []message{
 		{"replicate-commands", wire.KindReplicate, replicate},
 		{"news-commands", wire.KindFeedUpdate, committed},
 		{"news-relayed", wire.KindFeedUpdate, relayed},
 		{"news-records", wire.KindFeedUpdate, records},
-		{"news-bounced", wire.KindFeedUpdate, bounced},
+		{"news-bounced", wire.KindFeedUpdate, rejected},
 		{"snapshot-records", wire.KindSnapshotChunk, snapshot},
 	}
 }
 
-// encode gives a message's frame, made as a host makes it.
+// encode returns a message's frame, encoded as a host encodes it.
 func encode(t *testing.T, kind string, body any) []byte {
 	t.Helper()
 	send := machine.OutgoingMessage{Kind: kind, Body: body}
@@ -196,7 +196,7 @@
 	}
 }
 
-// describe gives a line's content by its encoded names alone.
+// describe returns a message's content by its encoded names alone.
 func describe(t *testing.T, message machine.Message) map[string]any {
 	t.Helper()
 	var body map[string]any
@@ -210,7 +210,7 @@
 }
 
 // plain turns a generic value of the encoding into one that JSON can hold. Bytes that
-// are an encoding themselves are taken apart.
+// are an encoding themselves are decoded.
 func plain(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
@@ -279,10 +279,10 @@
 	goldentest.Unclaimed(t, recordings, names)
 }
 
-// constants gives the values of a package's text constants whose names begin so.
-func constants(t *testing.T, folder, prefix string) []string {
+// constants returns the values of a package's string constants whose names have the prefix.
+func constants(t *testing.T, dir, prefix string) []string {
 	t.Helper()
-	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
 		t.Fatal(err)
 	}
