--- a/core/control/proxy.go
+++ b/core/control/proxy.go
@@ -69,7 +69,7 @@
 		p.redirect(message, out)
 	case "":
 	default:
-		out.Log("message_unknown", "kind", message.Kind, "from", message.From)
+		out.Warn("message_unknown", "kind", message.Kind, "from", message.From)
 	}
 }
 
@@ -154,7 +154,7 @@
 func decode[B any](message machine.Message, out *machine.Output, handle func(B)) {
 	var body B
 	if err := machine.Unmarshal(message.Body, &body); err != nil {
-		out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+		out.Warn("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
 		return
 	}
 	handle(body)
--- a/core/feed/replica.go
+++ b/core/feed/replica.go
@@ -125,7 +125,7 @@
 		return nil, false
 	}
 	if err != nil {
-		out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+		out.Warn("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
 	}
 	return results, true
 }
--- a/core/feed/subscription.go
+++ b/core/feed/subscription.go
@@ -128,7 +128,7 @@
 		r.subscribe(now, out)
 		return
 	case err != nil:
-		out.Log("feed_update_malformed", "from", from, "error", err.Error())
+		out.Warn("feed_update_malformed", "from", from, "error", err.Error())
 		return
 	}
 	r.Store.DiscardAuditEntries()
--- a/core/machine/output.go
+++ b/core/machine/output.go
@@ -1,6 +1,9 @@
 package machine
 
-import "encoding/json"
+import (
+	"encoding/json"
+	"log/slog"
+)
 
 // Output is what one step wants done. The parts are done in the order of the fields.
 type Output struct {
@@ -15,6 +18,7 @@
 
 // LogEvent is a line of the process log: a name and alternating keys and values.
 type LogEvent struct {
+	Level  slog.Level
 	Name   string
 	Fields []any
 }
@@ -89,7 +93,14 @@
 	o.Responses = append(o.Responses, Response{RequestID: requestID, Body: body})
 }
 
-// Log adds a line of the process log; fields are alternating keys and values.
+// Log adds a line of the process log for an event of normal operation; fields are
+// alternating keys and values.
 func (o *Output) Log(name string, fields ...any) {
-	o.LogEvents = append(o.LogEvents, LogEvent{Name: name, Fields: fields})
+	o.LogEvents = append(o.LogEvents, LogEvent{Level: slog.LevelInfo, Name: name, Fields: fields})
+}
+
+// Warn adds a line of the process log for an event that the machine recovers from, but that
+// an operator should know of if it persists.
+func (o *Output) Warn(name string, fields ...any) {
+	o.LogEvents = append(o.LogEvents, LogEvent{Level: slog.LevelWarn, Name: name, Fields: fields})
 }
--- a/core/machine/output_test.go
+++ b/core/machine/output_test.go
@@ -1,6 +1,8 @@
 package machine
 
 import (
+	"log/slog"
+	"reflect"
 	"slices"
 	"testing"
 )
@@ -53,3 +55,16 @@
 		}
 	}
 }
+
+func TestLogEventsHaveLevels(t *testing.T) {
+	var out Output
+	out.Log("serving", "epoch", 4)
+	out.Warn("disk_slow")
+	want := []LogEvent{
+		{Level: slog.LevelInfo, Name: "serving", Fields: []any{"epoch", 4}},
+		{Level: slog.LevelWarn, Name: "disk_slow"},
+	}
+	if !reflect.DeepEqual(out.LogEvents, want) {
+		t.Errorf("got %+v, want %+v", out.LogEvents, want)
+	}
+}
--- a/core/membership/gossiper.go
+++ b/core/membership/gossiper.go
@@ -103,7 +103,7 @@
 func (g *Gossiper) handleShuffle(now time.Duration, message machine.Message, out *machine.Output) bool {
 	var gossip wire.Gossip
 	if err := machine.Unmarshal(message.Body, &gossip); err != nil {
-		out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+		out.Warn("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
 		return false
 	}
 	if message.Kind == wire.KindShuffle {
--- a/core/replica/disk.go
+++ b/core/replica/disk.go
@@ -142,7 +142,7 @@
 	}
 	r.identitySynced = true
 	if took := now - r.disk.startedAt; took > slowWriteLog {
-		out.Log("disk_slow", "tookMs", took.Milliseconds())
+		out.Warn("disk_slow", "tookMs", took.Milliseconds())
 	}
 	r.log.syncedIndex, r.election.syncedCandidateEpoch = write.index, write.candidateEpoch
 	out.Messages = append(out.Messages, write.messages...)
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -176,7 +176,7 @@
 	case wire.KindNodeList:
 		withBody(message, out, func(b wire.Gossip) { r.discovery.nodes = b.Nodes })
 	default:
-		out.Log("message_unknown", "kind", kind, "from", from)
+		out.Warn("message_unknown", "kind", kind, "from", from)
 	}
 }
 
@@ -192,7 +192,7 @@
 }
 
 func logMalformed(kind, from string, err error, out *machine.Output) {
-	out.Log("message_malformed", "kind", kind, "from", from, "error", err.Error())
+	out.Warn("message_malformed", "kind", kind, "from", from, "error", err.Error())
 }
 
 // runTimers does what is due by time alone.
--- a/core/replica/snapshot_receive.go
+++ b/core/replica/snapshot_receive.go
@@ -87,7 +87,7 @@
 	}
 	if err := transfer.addChunk(b.Records); err != nil {
 		r.incoming = nil
-		out.Log("snapshot_corrupt", "from", from, "chunk", b.ChunkIndex, "error", err.Error())
+		out.Warn("snapshot_corrupt", "from", from, "chunk", b.ChunkIndex, "error", err.Error())
 		return
 	}
 	if !b.Last {
@@ -98,7 +98,7 @@
 	r.incoming = nil
 	store, intact := transfer.store(b)
 	if !intact {
-		out.Log("snapshot_corrupt", "from", from, "chunk", b.ChunkIndex)
+		out.Warn("snapshot_corrupt", "from", from, "chunk", b.ChunkIndex)
 		return
 	}
 	r.installSnapshot(store)
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -167,14 +167,14 @@
 	case message.Kind == wire.KindHeartbeat:
 		var request wire.HeartbeatRequest
 		if err := machine.Unmarshal(message.Body, &request); err != nil {
-			out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+			out.Warn("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
 			break
 		}
 		s.handleHeartbeat(now, message.From, request, out)
 	case message.Kind != "":
 		results, handled := s.access.Receive(now, message, out)
 		if !handled {
-			out.Log("message_unknown", "kind", message.Kind, "from", message.From)
+			out.Warn("message_unknown", "kind", message.Kind, "from", message.From)
 		}
 		return results
 	}
--- a/daemon/host/runner.go
+++ b/daemon/host/runner.go
@@ -86,7 +86,7 @@
 	in.WallTime = time.Now()
 	out := r.machine.Step(now, in)
 	for _, event := range out.LogEvents {
-		logging.Info(event.Name, event.Fields...)
+		logging.Log(event.Level, event.Name, event.Fields...)
 	}
 	for _, message := range out.Messages {
 		r.send(message)
--- a/daemon/logging/logging.go
+++ b/daemon/logging/logging.go
@@ -36,16 +36,17 @@
 }
 
 // Info logs an event of normal operation. Fields are alternating keys and values.
-func Info(event string, fields ...any) { write(slog.LevelInfo, event, fields) }
+func Info(event string, fields ...any) { Log(slog.LevelInfo, event, fields...) }
 
 // Warn logs an event that the process recovers from by itself, but that an operator
 // should know of if it persists.
-func Warn(event string, fields ...any) { write(slog.LevelWarn, event, fields) }
+func Warn(event string, fields ...any) { Log(slog.LevelWarn, event, fields...) }
 
 // Error logs a failure that ends the process, or a part of its work for good.
-func Error(event string, fields ...any) { write(slog.LevelError, event, fields) }
+func Error(event string, fields ...any) { Log(slog.LevelError, event, fields...) }
 
-func write(level slog.Level, event string, fields []any) {
+// Log logs an event of any level.
+func Log(level slog.Level, event string, fields ...any) {
 	// The program counter of the caller is not printed, so none is given.
 	record := slog.NewRecord(time.Now().UTC(), level, event, 0)
 	record.Add(fields...)
