--- a/core/agent/signoff_test.go
+++ b/core/agent/signoff_test.go
@@ -8,8 +8,8 @@
 )
 
 // signOff has the worker w say that it leaves, though its heartbeats never said so.
-func (p *harness) signOff() CallReply {
-	return p.request(machine.Request{Kind: RequestLeave, Name: "w"})
+func (h *harness) signOff() CallReply {
+	return h.request(machine.Request{Kind: RequestLeave, Name: "w"})
 }
 
 // TestSignOffBeforeLastHeartbeats has a worker that runs two tasks sign off without ever
--- a/daemon/compatibility/cluster_test.go
+++ b/daemon/compatibility/cluster_test.go
@@ -1,4 +1,4 @@
-// A cluster of real keepers in memory, whose disks are real data folders.
+// A cluster of real replicas in memory, whose disks are real data folders.
 
 package compatibility
 
@@ -26,11 +26,11 @@
 // wallStart is the time of day at which a cluster begins.
 var wallStart = time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)
 
-// replica is one keeper with its data folder.
+// replica is one replica with its data folder.
 type clusterNode struct {
 	address string
-	site    string
-	keeper  *replica.Replica
+	zone    string
+	replica *replica.Replica
 	data    *storage.Store
 	audits  []machine.AuditEntry
 	// cut takes all its lines away.
@@ -46,8 +46,8 @@
 	// lost is a kind of line that never comes.
 	lost string
 	// dropped counts the commands that were taken back from a log.
-	dropped int
-	asked   uint64
+	dropped     int
+	lastRequest uint64
 }
 
 // newCluster founds a cluster with 2*copies+1 replicas below a folder.
@@ -73,7 +73,7 @@
 	}
 	k, err := replica.New(env, stored)
 	c.check(err)
-	c.replicas = append(c.replicas, &clusterNode{address: address, site: env.Zone, keeper: k, data: data})
+	c.replicas = append(c.replicas, &clusterNode{address: address, zone: env.Zone, replica: k, data: data})
 }
 
 func (c *cluster) check(err error) {
@@ -92,7 +92,7 @@
 
 func (c *cluster) step(r *clusterNode, in machine.Input) {
 	in.WallTime = wallStart.Add(c.now)
-	c.carryOut(r, r.keeper.Step(c.time(), in))
+	c.carryOut(r, r.replica.Step(c.time(), in))
 }
 
 // carryOut sends and writes what a replica wants.
@@ -134,7 +134,7 @@
 			do()
 		}
 		for _, r := range c.replicas {
-			if r.keeper.NextTimer() <= c.now {
+			if r.replica.NextTimer() <= c.now {
 				c.step(r, machine.Input{})
 			}
 		}
@@ -148,7 +148,7 @@
 func (c *cluster) gossip() {
 	var nodes []wire.Node
 	for _, r := range c.replicas {
-		nodes = append(nodes, wire.Node{ID: r.keeper.ID(), Role: "keeper", Zone: r.site, Address: r.address})
+		nodes = append(nodes, wire.Node{ID: r.replica.ID(), Role: "keeper", Zone: r.zone, Address: r.address})
 	}
 	body := machine.MustMarshal(wire.Gossip{Nodes: nodes})
 	line := machine.Message{Version: machine.ProtocolVersion, Kind: wire.KindNodeList, Body: body}
@@ -161,7 +161,7 @@
 	c.t.Helper()
 	for range 10000 {
 		for _, r := range c.replicas {
-			if r.keeper.LeadershipConfirmed(c.time()) {
+			if r.replica.LeadershipConfirmed(c.time()) {
 				return r
 			}
 		}
@@ -173,12 +173,12 @@
 
 // submit hands a command to a replica and gives its number.
 func (c *cluster) submit(r *clusterNode, cmd state.Command) uint64 {
-	c.asked++
+	c.lastRequest++
 	var out machine.Output
-	r.keeper.Submit(c.time(), c.asked, cmd, &out)
+	r.replica.Submit(c.time(), c.lastRequest, cmd, &out)
 	c.carryOut(r, out)
-	c.carryOut(r, r.keeper.Flush(c.time()))
-	return c.asked
+	c.carryOut(r, r.replica.Flush(c.time()))
+	return c.lastRequest
 }
 
 // do has the primary carry a command out and waits for the answer.
@@ -188,7 +188,7 @@
 	id := c.submit(p, cmd)
 	for range 10000 {
 		c.pass(stride)
-		for _, back := range p.keeper.TakeLocalReplies() {
+		for _, back := range p.replica.TakeLocalReplies() {
 			if back.ID == id {
 				return back.Result
 			}
--- a/daemon/compatibility/coverage_test.go
+++ b/daemon/compatibility/coverage_test.go
@@ -18,7 +18,7 @@
 	"sorrelloom/core/state"
 )
 
-// kinds are all kinds of commands that change the ledger, by their encoded names.
+// kinds are all kinds of commands that change the state, by their encoded names.
 var kinds = []string{
 	"accept", "beat", "cancel", "drain", "gone", "grant", "hello", "move", "plan", "push-out", "renew", "site", "take",
 	"tick",
@@ -27,7 +27,7 @@
 // absent are the fields that no fixture can have, or none of this commit has.
 var absent = map[string]string{
 	"job.tasks":                 "tasks are records of their own",
-	"worker.running":            "what runs is in the turns",
+	"worker.running":            "what runs is in the leases",
 	"worker.ended":              "what has ended is in the tasks",
 	"worker.progress":           "what was saved is in the tasks",
 	"worker.reduced":            "a reduced report is completed before it is kept",
@@ -117,7 +117,7 @@
 			commands = append(commands, commandsOf(t, slices.Concat(one.stored.CommandsBeforeSnapshot, one.stored.Commands))...)
 		}
 		missing := missingFields(reflect.TypeFor[state.Command](), commands, "command")
-		tables := tablesOf(t, golden(t, filepath.Join(folder, ledgerFile)))
+		tables := tablesOf(t, golden(t, filepath.Join(folder, stateFile)))
 		for name, stored := range map[string]reflect.Type{
 			"job": reflect.TypeFor[state.Job](), "task": reflect.TypeFor[state.Task](),
 			"worker": reflect.TypeFor[state.Worker](), "duty": reflect.TypeFor[state.Leadership](),
@@ -142,11 +142,11 @@
 	})
 }
 
-// TestEveryTableIsFilled wants records in each table of the ledger, and a value for all
-// that the ledger keeps beside its tables.
+// TestEveryTableIsFilled wants records in each table of the state, and a value for all
+// that the state keeps beside its tables.
 func TestEveryTableIsFilled(t *testing.T) {
 	eachFixture(t, func(t *testing.T, folder string, _ int) {
-		tables := tablesOf(t, golden(t, filepath.Join(folder, ledgerFile)))
+		tables := tablesOf(t, golden(t, filepath.Join(folder, stateFile)))
 		for _, table := range []string{
 			"daemon", "duty", "job", "meta/plan", "meta/position", "past", "request", "site", "task", "worker",
 		} {
@@ -227,7 +227,7 @@
 	return out
 }
 
-// tablesOf gives the values of a golden ledger by table; the two records of "meta" are
+// tablesOf gives the values of a golden state by table; the two records of "meta" are
 // of different types.
 func tablesOf(t *testing.T, recorded []byte) map[string][]any {
 	t.Helper()
--- a/daemon/compatibility/generate_test.go
+++ b/daemon/compatibility/generate_test.go
@@ -42,7 +42,7 @@
 	c.close()
 	for _, r := range c.replicas {
 		if len(r.audits) > 0 {
-			writeAudit(t, filepath.Join(disks, r.address, auditFolder), r.keeper.ID(), r.audits)
+			writeAudit(t, filepath.Join(disks, r.address, auditFolder), r.replica.ID(), r.audits)
 		}
 	}
 	writeGolden(t, folder, copies)
@@ -73,10 +73,10 @@
 func writeGolden(t *testing.T, folder string, copies int) {
 	replicas := openAll(t, folder, copies)
 	for address, o := range replicas {
-		path := filepath.Join(folder, ledgerFile)
-		state := canonical(t, o.keeper.Store().Records())
+		path := filepath.Join(folder, stateFile)
+		state := canonical(t, o.replica.Store().Records())
 		if recorded, err := os.ReadFile(path); err == nil {
-			compare(t, "the ledger of "+address, recorded, state)
+			compare(t, "the state of "+address, recorded, state)
 		}
 		writeFile(t, path, state)
 	}
--- a/daemon/compatibility/golden_test.go
+++ b/daemon/compatibility/golden_test.go
@@ -23,7 +23,7 @@
 
 const (
 	testdata     = "testdata"
-	ledgerFile   = "ledger.json"
+	stateFile    = "ledger.json"
 	replicasFile = "replicas.json"
 	auditFolder  = "audit"
 	diskFolder   = "disks"
@@ -98,12 +98,12 @@
 	t.Errorf("%s has %d lines, want %d", what, len(gotten), len(wanted))
 }
 
-// TestLedgerIsReadAsRecorded starts every replica and compares its whole ledger.
-func TestLedgerIsReadAsRecorded(t *testing.T) {
+// TestLedgerIsReadAsRecorded starts every replica and compares its whole state.
+func TestStateIsReadAsRecorded(t *testing.T) {
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
-		want := golden(t, filepath.Join(folder, ledgerFile))
+		want := golden(t, filepath.Join(folder, stateFile))
 		for address, o := range openAll(t, folder, copies) {
-			compare(t, "the ledger of "+address, want, canonical(t, o.keeper.Store().Records()))
+			compare(t, "the state of "+address, want, canonical(t, o.replica.Store().Records()))
 		}
 	})
 }
@@ -144,7 +144,7 @@
 }
 
 // TestSnapshotIsEncodedAsStored loads the records of each snapshot and encodes the
-// ledger again, without the log after it.
+// state again, without the log after it.
 func TestSnapshotIsEncodedAsStored(t *testing.T) {
 	eachFixture(t, func(t *testing.T, folder string, copies int) {
 		for address, o := range openAll(t, folder, copies) {
--- a/daemon/compatibility/script_test.go
+++ b/daemon/compatibility/script_test.go
@@ -10,8 +10,8 @@
 	"sorrelloom/core/state"
 )
 
-// wholePlan sets every field that a plan may have.
-const wholePlan = `{"services":{
+// fullConfig sets every field that a configuration may have.
+const fullConfig = `{"services":{
  "tickets":{"largestWorker":{"slots":8,"cores":64,"memoryMB":4096,"accelerators":8},"labels":["ssd","gpu"],
   "anyLabel":true,"classes":{
   "quick":{"priority":100,"share":50,"quick":true,"runLimit":"5s","silence":"restart","inboxMax":900,
@@ -26,7 +26,7 @@
 // script brings a cluster commands of every kind.
 type script struct {
 	*cluster
-	beats map[string]state.Heartbeat
+	heartbeats map[string]state.Heartbeat
 }
 
 // history leaves jobs that ended so long ago that only a trace is left, and one of
@@ -34,7 +34,7 @@
 func (s *script) history() {
 	s.must(state.Command{
 		Kind: state.KindChangeConfig, IdempotencyKey: "first", Digest: "of the call", RequestedAt: state.RequestTimeUnknown,
-		ConfigChange: state.ConfigChange{Version: 7, Body: json.RawMessage(wholePlan)},
+		ConfigChange: state.ConfigChange{Version: 7, Body: json.RawMessage(fullConfig)},
 	})
 	s.accept(state.JobSpec{ID: "forgotten", Service: "tickets", Class: "batch", Tasks: []state.TaskSpec{{ID: "t"}}})
 	s.must(state.Command{Kind: state.KindCancelJob, Name: "forgotten"})
@@ -45,7 +45,7 @@
 	s.limits(`{"remember":"1h"}`)
 }
 
-// limits changes some limits of the plan.
+// limits changes some limits of the configuration.
 func (s *script) limits(change string) {
 	s.must(state.Command{Kind: state.KindChangeConfig, ConfigChange: state.ConfigChange{
 		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":` + change + `}`),
@@ -55,12 +55,12 @@
 // round sends all kinds of commands about names with a prefix.
 func (s *script) round(prefix string) {
 	s.trace(prefix)
-	s.duties(prefix)
+	s.leaderships(prefix)
 	s.workers(prefix)
 	s.jobs(prefix)
-	s.turns(prefix)
+	s.runTasks(prefix)
 	s.operators(prefix)
-	s.late(prefix)
+	s.loseWorkers(prefix)
 }
 
 // trace leaves what stays of a job that was cancelled.
@@ -77,41 +77,47 @@
 	s.must(state.Command{Kind: state.KindSchedulerHeartbeat, SchedulerHeartbeat: h})
 }
 
-// duties has three schedulers: one duty is won, moved and passed on, one is voted
+// leaderships has three schedulers: one leadership is won, moved and passed on, one is voted
 // about, one is taken by the primary's own dispatcher.
-func (s *script) duties(p string) {
-	duty, own := "dispatch/"+p, "own/"+p
-	s.hello(state.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: duty, Candidate: "s1"})
+func (s *script) leaderships(p string) {
+	zoneLeadership, own := "dispatch/"+p, "own/"+p
+	s.hello(state.SchedulerHeartbeat{Scheduler: "s1", Zone: "a", Leadership: zoneLeadership, Candidate: "s1"})
 	for _, name := range []string{"s2", "s3", "s4"} {
 		s.hello(state.SchedulerHeartbeat{Scheduler: name, Zone: "b"})
 	}
 	s.hello(state.SchedulerHeartbeat{Scheduler: "s4", Zone: "b", Leaving: true})
-	s.must(state.Command{Kind: state.KindTransferLeadership, Name: duty, IdempotencyKey: p + "move", SchedulerHeartbeat: state.SchedulerHeartbeat{Candidate: "s2"}})
-	s.hello(state.SchedulerHeartbeat{Scheduler: "s2", Zone: "b", Leadership: duty, Candidate: "s1", Epoch: 2, Transfer: true})
+	s.must(state.Command{Kind: state.KindTransferLeadership, Name: zoneLeadership, IdempotencyKey: p + "move",
+		SchedulerHeartbeat: state.SchedulerHeartbeat{Candidate: "s2"},
+	})
+	s.hello(state.SchedulerHeartbeat{
+		Scheduler: "s2", Zone: "b", Leadership: zoneLeadership, Candidate: "s1", Epoch: 2, Transfer: true,
+	})
 	s.hello(state.SchedulerHeartbeat{Scheduler: "s3", Zone: "b", Leadership: "open/" + p, Candidate: "s1"})
-	s.must(state.Command{Kind: state.KindTakeLeadership, Name: own, SchedulerHeartbeat: state.SchedulerHeartbeat{Scheduler: "k1", Zone: "a"}})
+	s.must(state.Command{Kind: state.KindTakeLeadership, Name: own,
+		SchedulerHeartbeat: state.SchedulerHeartbeat{Scheduler: "k1", Zone: "a"},
+	})
 }
 
 func (s *script) workers(p string) {
-	s.beats = map[string]state.Heartbeat{}
+	s.heartbeats = map[string]state.Heartbeat{}
 	for _, name := range []string{"w1", "w2", "w3", "w4", "w5", "w6"} {
-		s.beat(p+name, func(b *state.Heartbeat) {
+		s.heartbeat(p+name, func(b *state.Heartbeat) {
 			b.Incarnation, b.Zone, b.Rack, b.Service, b.Labels = 5, "a", "r1", "tickets", []string{"ssd"}
 			b.Free = state.Resources{Slots: 8, Cores: 64, MemoryMB: 4096, Accelerators: 8}
 			b.Total, b.Address = b.Free, "10.0.0.1:"+p+name
 		})
 	}
-	s.beat(p+"w4", func(b *state.Heartbeat) { b.Leaving, b.LeavesIn = true, time.Minute })
+	s.heartbeat(p+"w4", func(b *state.Heartbeat) { b.Leaving, b.LeavesIn = true, time.Minute })
 }
 
-// beat sends a worker's next report.
-func (s *script) beat(id string, change func(*state.Heartbeat)) {
-	b := s.beats[id]
+// heartbeat sends a worker's next heartbeat.
+func (s *script) heartbeat(id string, change func(*state.Heartbeat)) {
+	b := s.heartbeats[id]
 	b.Worker, b.Number = id, b.Number+1
 	change(&b)
 	s.must(state.Command{Kind: state.KindHeartbeat, Heartbeat: b})
 	b.Ended, b.Progress, b.NotRunning, b.Delta = nil, nil, nil, false
-	s.beats[id] = b
+	s.heartbeats[id] = b
 }
 
 func (s *script) accept(spec state.JobSpec) {
@@ -120,7 +126,8 @@
 
 func (s *script) jobs(p string) {
 	placing := state.Placement{
-		ExpectedRunTime: config.Duration{Duration: time.Second}, PreferredRack: "r1", SameRack: true, MaxPerWorker: 3, Checkpointed: true,
+		ExpectedRunTime: config.Duration{Duration: time.Second},
+		PreferredRack:   "r1", SameRack: true, MaxPerWorker: 3, Checkpointed: true,
 		AllowsDuplicates: true,
 	}
 	room := state.Resources{Slots: 1, Cores: 2, MemoryMB: 3, Accelerators: 1}
@@ -170,34 +177,36 @@
 func (s *script) picks(p, job, worker string, tasks ...string) state.Grant {
 	g := state.Grant{Leadership: "dispatch/" + p, Epoch: 3}
 	for _, task := range tasks {
-		beat := s.beats[p+worker].Number
-		g.Assignments = append(g.Assignments, state.Assignment{Job: p + job, Task: task, Worker: p + worker, HeartbeatNumber: beat})
+		heartbeatNumber := s.heartbeats[p+worker].Number
+		g.Assignments = append(g.Assignments, state.Assignment{
+			Job: p + job, Task: task, Worker: p + worker, HeartbeatNumber: heartbeatNumber,
+		})
 	}
 	return g
 }
 
-// turns has tasks run, end in every way, save progress and be told to stop.
-func (s *script) turns(p string) {
+// runTasks has tasks run, end in every way, save progress and be told to stop.
+func (s *script) runTasks(p string) {
 	w1 := p + "w1"
-	try := func(task string) state.Attempt { return state.Attempt{Job: p + "many", Task: task, Number: 1} }
+	attempt := func(task string) state.Attempt { return state.Attempt{Job: p + "many", Task: task, Number: 1} }
 	var running []state.Attempt
 	for _, task := range []string{"t0", "t1", "t2", "t3", "t4"} {
 		s.grant(p, "many", "w1", task)
-		running = append(running, try(task))
+		running = append(running, attempt(task))
 	}
-	s.beat(w1, func(b *state.Heartbeat) { b.Running, b.Free.Slots = running, 3 })
-	s.beat(w1, func(b *state.Heartbeat) {
-		b.Progress = []state.Progress{{Attempt: try("t4"), Checkpoint: "part 1", Percent: 40}}
+	s.heartbeat(w1, func(b *state.Heartbeat) { b.Running, b.Free.Slots = running, 3 })
+	s.heartbeat(w1, func(b *state.Heartbeat) {
+		b.Progress = []state.Progress{{Attempt: attempt("t4"), Checkpoint: "part 1", Percent: 40}}
 		b.Ended = []state.AttemptResult{
-			{Attempt: try("t0"), Succeeded: true}, {Attempt: try("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
-			{Attempt: try("t2"), Lost: true}, {Attempt: try("t3"), Stopped: true},
+			{Attempt: attempt("t0"), Succeeded: true}, {Attempt: attempt("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
+			{Attempt: attempt("t2"), Lost: true}, {Attempt: attempt("t3"), Stopped: true},
 		}
 		b.Running, b.Free.Slots = running[4:], 7
 	})
 	s.grant(p, "many", "w1", "t5")
-	s.beat(w1, func(b *state.Heartbeat) { b.Running = append(b.Running, try("t5")) })
-	s.beat(w1, func(b *state.Heartbeat) {
-		b.Delta, b.Running, b.NotRunning = true, nil, []state.Attempt{try("t5")}
+	s.heartbeat(w1, func(b *state.Heartbeat) { b.Running = append(b.Running, attempt("t5")) })
+	s.heartbeat(w1, func(b *state.Heartbeat) {
+		b.Delta, b.Running, b.NotRunning = true, nil, []state.Attempt{attempt("t5")}
 		b.Zone, b.Rack, b.Service, b.Labels, b.Address = "", "", "", nil, ""
 	})
 	s.must(state.Command{Kind: state.KindRenewWorkers, Renewals: []state.Renewal{
@@ -205,7 +214,7 @@
 		{Worker: p + "w2", Incarnation: 5, Number: 2, Age: 30 * time.Millisecond},
 	}})
 	s.grant(p, "steps", "w5", "0.0.0", "0.0.1")
-	s.beat(p+"w5", func(b *state.Heartbeat) {
+	s.heartbeat(p+"w5", func(b *state.Heartbeat) {
 		for _, task := range []string{"0.0.0", "0.0.1"} {
 			b.Running = append(b.Running, state.Attempt{Job: p + "steps", Task: task, Number: 1})
 		}
@@ -222,11 +231,11 @@
 	g := s.picks(p, "large", "w6", "c")
 	g.PreemptFor = state.Assignment{Job: p + "steps", Task: "0.1.0", Worker: p + "w6", HeartbeatNumber: 1}
 	s.must(state.Command{Kind: state.KindPreempt, Grant: g})
-	s.beat(p+"w2", func(b *state.Heartbeat) {
+	s.heartbeat(p+"w2", func(b *state.Heartbeat) {
 		b.Free.Slots = 0
 		b.Running = []state.Attempt{{Job: p + "large", Task: "a", Number: 1}}
 	})
-	s.beat(p+"w3", func(b *state.Heartbeat) { b.Running = []state.Attempt{{Job: p + "many", Task: "t4", Number: 1}} })
+	s.heartbeat(p+"w3", func(b *state.Heartbeat) { b.Running = []state.Attempt{{Job: p + "many", Task: "t4", Number: 1}} })
 }
 
 // operators sends each operator's write, with and without a token.
@@ -234,23 +243,28 @@
 	s.grant(p, "cancelled", "w1", "t")
 	s.must(state.Command{Kind: state.KindCancelJob, Name: p + "cancelled"})
 	s.must(state.Command{Kind: state.KindDrainWorker, Name: p + "w3", Drain: true, IdempotencyKey: p + "drain"})
-	now := s.primary().keeper.Time(s.time())
+	now := s.primary().replica.Time(s.time())
 	s.must(state.Command{
-		Kind: state.KindDrainZone, Name: "b", Drain: true, IdempotencyKey: p + "site", RequestedAt: now, MaxAge: time.Minute, ConfirmedIndex: 1 << 20,
+		Kind: state.KindDrainZone, Name: "b", Drain: true, IdempotencyKey: p + "site",
+		RequestedAt: now, MaxAge: time.Minute, ConfirmedIndex: 1 << 20,
+	})
+	s.refused(state.Command{
+		Kind: state.KindChangeConfig, IdempotencyKey: p + "bad", RequestedAt: now, ConfigChange: state.ConfigChange{
+			Forced: true, Patch: true, Body: json.RawMessage(`{"limits":{"lease":"1s"}}`),
+		},
+	})
+	base := s.primary().replica.Store().Config().Version
+	s.must(state.Command{
+		Kind: state.KindChangeConfig, IdempotencyKey: p + "good", RequestedAt: now, ConfigChange: state.ConfigChange{
+			BaseVersion: base, Patch: true, Body: json.RawMessage(`{"limits":{"endsAtCutoff":true}}`),
+		},
 	})
-	s.refused(state.Command{Kind: state.KindChangeConfig, IdempotencyKey: p + "bad", RequestedAt: now, ConfigChange: state.ConfigChange{
-		Forced: true, Patch: true, Body: json.RawMessage(`{"limits":{"lease":"1s"}}`),
-	}})
-	base := s.primary().keeper.Store().Config().Version
-	s.must(state.Command{Kind: state.KindChangeConfig, IdempotencyKey: p + "good", RequestedAt: now, ConfigChange: state.ConfigChange{
-		BaseVersion: base, Patch: true, Body: json.RawMessage(`{"limits":{"endsAtCutoff":true}}`),
-	}})
 }
 
-// late is what needs time to pass: a worker that went silent, and one that came
-// back as another process while its turn is held.
-func (s *script) late(p string) {
-	s.beat(p+"w2", func(b *state.Heartbeat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
+// loseWorkers is what needs time to pass: a worker that went silent, and one that came
+// back as another process while the lease on its attempt is kept.
+func (s *script) loseWorkers(p string) {
+	s.heartbeat(p+"w2", func(b *state.Heartbeat) { b.Incarnation, b.Number, b.Running = 6, 1, nil })
 	s.pass(3500 * time.Millisecond)
 	s.must(state.Command{Kind: state.KindConfirmWorkerDead, Name: p + "w4", IdempotencyKey: p + "gone"})
 	for _, name := range []string{"s1", "s2", "s3"} {
--- a/daemon/compatibility/state_test.go
+++ b/daemon/compatibility/state_test.go
@@ -17,11 +17,11 @@
 	"sorrelloom/daemon/storage"
 )
 
-// ownBucket holds a keeper's own records.
+// ownBucket holds a replica's own records.
 const ownBucket = "keeper"
 
-// replicaState is what a keeper knows of itself after a start. Each field is seen by
-// what the keeper does, not by what the disk has.
+// replicaState is what a replica knows of itself after a start. Each field is seen by
+// what the replica does, not by what the disk has.
 type replicaState struct {
 	Identity string          `json:"identity"`
 	Register json.RawMessage `json:"register"`
@@ -29,13 +29,13 @@
 	Founders []string        `json:"founders"`
 }
 
-// opened is a data folder as a keeper that starts finds it.
+// opened is a data folder as a replica that starts finds it.
 type opened struct {
-	stored machine.StoredState
-	keeper *replica.Replica
+	stored  machine.StoredState
+	replica *replica.Replica
 }
 
-// open starts a keeper from a copy of a data folder.
+// open starts a replica from a copy of a data folder.
 func open(t *testing.T, folder string) opened {
 	t.Helper()
 	scratch := filepath.Join(t.TempDir(), "data")
@@ -59,16 +59,16 @@
 	return k
 }
 
-// state asks keepers that start from the stored records for all they know.
+// state asks replicas that start from the stored records for all they know.
 func (o opened) state(t *testing.T) replicaState {
 	t.Helper()
 	return replicaState{
-		Identity: o.keeper.ID(), Register: registerOf(t, start(t, o.stored)), Stands: stands(t, start(t, o.stored)),
+		Identity: o.replica.ID(), Register: acceptorOf(t, start(t, o.stored)), Stands: isCandidate(t, start(t, o.stored)),
 		Founders: founders(t, o.stored),
 	}
 }
 
-// drive steps a keeper with an input and has its writes done. It gives all output.
+// drive steps a replica with an input and has its writes done. It gives all output.
 func drive(k *replica.Replica, now time.Duration, in machine.Input) machine.Output {
 	out := k.Step(now, in)
 	for i := 0; i < len(out.Writes); i++ {
@@ -84,9 +84,9 @@
 	}}
 }
 
-// registerOf asks for a vote that is not given, after which the keeper writes its
+// acceptorOf asks for a vote that is not given, after which the replica writes its
 // register as it is.
-func registerOf(t *testing.T, k *replica.Replica) json.RawMessage {
+func acceptorOf(t *testing.T, k *replica.Replica) json.RawMessage {
 	t.Helper()
 	out := drive(k, stride, lineOf(wire.KindPrepare, wire.PaxosMessage{To: k.ID(), From: wire.Member{ID: "asker"}}))
 	for _, w := range out.Writes {
@@ -96,13 +96,13 @@
 			}
 		}
 	}
-	t.Fatal("the keeper wrote no register")
+	t.Fatal("the replica wrote no acceptor")
 	return nil
 }
 
-// stands says whether the keeper acknowledges a line with the word that it wants to
+// isCandidate says whether the replica acknowledges a message with the word that it wants to
 // lead the next view.
-func stands(t *testing.T, k *replica.Replica) bool {
+func isCandidate(t *testing.T, k *replica.Replica) bool {
 	t.Helper()
 	view := k.View()
 	out := drive(k, stride, lineOf(wire.KindReplicate, wire.ReplicateRequest{
@@ -116,7 +116,7 @@
 	return false
 }
 
-// founders gives the addresses that a keeper asks for a view as long as it knows none.
+// founders gives the addresses that a replica asks for a view as long as it knows none.
 func founders(t *testing.T, stored machine.StoredState) []string {
 	t.Helper()
 	var own []machine.Record
