--- a/core/agent/lateheartbeat_test.go
+++ b/core/agent/late_heartbeat_test.go
@@ -35,36 +35,36 @@
 
 // testLateHeartbeat sends a heartbeat whose number is so far behind that of the newest.
 func testLateHeartbeat(t *testing.T, change func(late *Call), behind uint64) {
-	p := newHarness(t, 1)
-	p.call.Number = 9
-	p.callAgent(func(c *Call) { c.Running = []Run{{attemptOf("r"), "new", 50}} })
-	p.advance(20 * ms)
-	p.accept(ordersToStart("a"))
-	p.advance(20 * ms)
-	p.equal("starts", startedJobs(p.callAgent(nil)), []string{"a"})
-	calledAt := p.now
-	p.advance(20 * ms)
-	p.accept(state.HeartbeatReply{Stops: []state.Attempt{attemptOf("r")}})
-	p.advance(20 * ms)
-	reported, reports := p.lastReport().Heartbeat, len(p.reports)
-	status := p.agent.Status()
+	h := newHarness(t, 1)
+	h.call.Number = 9
+	h.callAgent(func(c *Call) { c.Running = []Run{{attemptOf("r"), "new", 50}} })
+	h.advance(20 * ms)
+	h.accept(ordersToStart("a"))
+	h.advance(20 * ms)
+	h.equal("starts", startedJobs(h.callAgent(nil)), []string{"a"})
+	lastCallAt := h.now
+	h.advance(20 * ms)
+	h.accept(state.HeartbeatReply{Stops: attemptsOf("r")})
+	h.advance(20 * ms)
+	reported, reports := h.heartbeat(), len(h.reports)
+	status := h.agent.Status()
 
-	late := p.call
+	late := h.call
 	late.Number -= behind
 	change(&late)
-	p.advance(700 * ms)
-	expiry := p.agent.Status().LeaseExpiry
-	reply := p.request(machine.Request{Kind: RequestCall, Decoded: late})
-	p.equal("reply", reply, CallReply{LeaseRemaining: expiry - p.now, NextCallIn: 100 * ms})
-	p.equal("lease", expiry, status.LeaseExpiry)
-	p.equal("last call", p.agent.Status().LastCallAt, calledAt)
-	p.equal("reports of its own", len(p.reports), reports)
-	p.advance(calledAt + time.Second - p.now + 2*ms)
-	p.equal("silent", p.events[len(p.events)-1], "worker_silent")
+	h.advance(700 * ms)
+	expiry := h.agent.Status().LeaseExpiry
+	reply := h.request(machine.Request{Kind: RequestCall, Decoded: late})
+	h.equal("reply", reply, CallReply{LeaseRemaining: expiry - h.now, NextCallIn: 100 * ms})
+	h.equal("lease", expiry, status.LeaseExpiry)
+	h.equal("last call", h.agent.Status().LastCallAt, lastCallAt)
+	h.equal("reports of its own", len(h.reports), reports)
+	h.advance(lastCallAt + time.Second - h.now + 2*ms)
+	h.equal("silent", h.events[len(h.events)-1], "worker_silent")
 
-	p.equal("orders are given again", len(p.callAgent(nil).Stops), 1)
-	p.advance(10 * ms)
-	again := p.lastReport().Heartbeat
+	h.equal("orders are given again", len(h.callAgent(nil).Stops), 1)
+	h.advance(10 * ms)
+	again := h.heartbeat()
 	reported.Number, again.Number = 0, 0
-	p.equal("report", again, reported)
+	h.equal("report", again, reported)
 }
