--- a/tool/cmd/fakeworker/server.go
+++ b/tool/cmd/fakeworker/server.go
@@ -96,7 +96,7 @@
 	h.POST("/faults", s.postFaults)
 	pool.Go(func() {
 		if err := h.Run(); err != nil {
-			logging.Info("http_ended", "error", err.Error())
+			logging.Info("http_ended", "why", err.Error())
 		}
 	})
 }
--- a/tool/e2e/faults_test.go
+++ b/tool/e2e/faults_test.go
@@ -80,8 +80,9 @@
 	waves := &jobWaves{testFleet: f}
 	waves.play("quiet")
 	waves.freezePrimary()
-	waves.freezeSchedulerAndGateway()
-	waves.killSchedulerAndGateway()
+	waves.breakAndMend([2]string{"scheduler-1", "front-1"}, f.Freeze, f.Resume, "scheduler-and-gateway-frozen")
+	waves.play("both-resumed")
+	waves.breakAndMend([2]string{"scheduler-2", "front-2"}, f.Kill, f.StartProcess, "scheduler-and-gateway-killed")
 	waves.partitionPrimary()
 	waves.replacePrimary()
 	f.must(f.Kill(f.Primary()))
@@ -109,23 +110,16 @@
 	w.play("primary-resumed")
 }
 
-func (w *jobWaves) freezeSchedulerAndGateway() {
+// breakAndMend does something to two processes, plays a wave of jobs, and mends them.
+func (w *jobWaves) breakAndMend(names [2]string, breakOne, mendOne func(name string) error, wave string) {
 	w.t.Helper()
-	w.must(w.Freeze("scheduler-1"))
-	w.must(w.Freeze("front-1"))
-	w.play("scheduler-and-gateway-frozen")
-	w.must(w.Resume("scheduler-1"))
-	w.must(w.Resume("front-1"))
-	w.play("both-resumed")
-}
-
-func (w *jobWaves) killSchedulerAndGateway() {
-	w.t.Helper()
-	w.must(w.Kill("scheduler-2"))
-	w.must(w.Kill("front-2"))
-	w.play("scheduler-and-gateway-killed")
-	w.must(w.StartProcess("scheduler-2"))
-	w.must(w.StartProcess("front-2"))
+	for _, name := range names {
+		w.must(breakOne(name))
+	}
+	w.play(wave)
+	for _, name := range names {
+		w.must(mendOne(name))
+	}
 }
 
 func (w *jobWaves) partitionPrimary() {
--- a/tool/sim/control_broken_test.go
+++ b/tool/sim/control_broken_test.go
@@ -92,7 +92,7 @@
 // loseWritesAndPower has all disks begin to drop writes, and takes the power.
 func loseWritesAndPower(s *ControlScenario) {
 	s.world.At(10*time.Second, func() {
-		for _, n := range s.controls {
+		for _, n := range s.replicas {
 			n.diskLosesWrites = true
 		}
 	})
--- a/tool/sim/control_faults_daemons.go
+++ b/tool/sim/control_faults_daemons.go
@@ -7,11 +7,6 @@
 	"sorrelloom/core/state"
 )
 
-// mayLoseDisk reports whether no disk is missing that another one would be too many.
-func (s *ControlScenario) mayLoseDisk() bool {
-	return s.world.Now >= s.nextDiskLossAt && s.allMembersUp()
-}
-
 // bootAfter boots a node after a random time between two, in milliseconds.
 func (s *ControlScenario) bootAfter(n *node, least, most int) {
 	s.world.After(s.randomMillis(least, most), func() { s.world.Boot(n) })
@@ -69,7 +64,7 @@
 
 // killControls kills all control processes, which come back.
 func (s *ControlScenario) killControls() {
-	for _, n := range s.controls {
+	for _, n := range s.replicas {
 		s.kill(n)
 		s.bootAfter(n, 300, 2500)
 	}
@@ -104,13 +99,13 @@
 
 // slowControlDisk makes the disk of a control process slow for a while.
 func (s *ControlScenario) slowControlDisk() {
-	s.world.slowDisk(s.randomControl(), 8*time.Second)
+	s.world.slowDisk(s.randomReplica(), 8*time.Second)
 	s.degradeDaemons(14 * time.Second)
 }
 
 // blockRandomLink blocks the link of a daemon to a control process, both ways or one.
 func (s *ControlScenario) blockRandomLink() {
-	from, to := s.randomDaemon(), s.randomControl()
+	from, to := s.randomDaemon(), s.randomReplica()
 	if from == to {
 		return
 	}
@@ -136,7 +131,7 @@
 func (s *ControlScenario) isolateDaemon() {
 	n := s.randomDaemon()
 	if s.world.coin() {
-		n = s.randomControl()
+		n = s.randomReplica()
 	}
 	s.world.isolateFor(n, 8*time.Second)
 	s.degradeDaemons(15 * time.Second)
@@ -144,17 +139,16 @@
 
 // wipeControl takes the disk of a control process, if none is missing.
 func (s *ControlScenario) wipeControl() {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	s.wipeAndBoot()
 	s.degradeDaemons(14 * time.Second)
 }
 
 // wipeAndBoot takes the disk of a control process, which comes back empty.
 func (s *ControlScenario) wipeAndBoot() {
-	n := s.randomControl()
+	n := s.randomReplica()
 	s.world.Wipe(n)
 	s.bootAfter(n, 100, 4000)
 }
@@ -166,8 +160,8 @@
 // when the next job is accepted.
 func (s *ControlScenario) powerOffAndWipeOnAccept() {
 	s.onNextAccept(func() {
-		wiped := s.world.rng.IntN(len(s.controls))
-		for i, n := range s.controls {
+		wiped := s.world.rng.IntN(len(s.replicas))
+		for i, n := range s.replicas {
 			if i == wiped {
 				s.world.Wipe(n)
 			} else {
@@ -181,10 +175,9 @@
 // onNextAccept submits a job, and breaks something in the moment in which the next one is
 // accepted.
 func (s *ControlScenario) onNextAccept(do func()) {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	s.onAccept = func() {
 		do()
 		s.degradeDaemons(14 * time.Second)
--- a/tool/sim/control_operators.go
+++ b/tool/sim/control_operators.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"fmt"
 	"time"
 
 	"sorrelloom/core/state"
@@ -28,7 +27,7 @@
 
 // canServe reports whether the daemons could act on a request at a gateway now.
 func (s *ControlScenario) canServe(n *node) bool {
-	return !n.faultyDuring(s.world.Now, s.world.Now) && s.world.canCommit(s.controls)
+	return !n.faultyDuring(s.world.Now, s.world.Now) && s.world.canCommit(s.replicas)
 }
 
 // randomGatewayIndex draws one of the first three gateways.
@@ -71,9 +70,8 @@
 
 // operatorCommand makes a command of an operator, with an idempotency key of its own.
 func (s *ControlScenario) operatorCommand(kind string) state.Command {
-	s.requestCount++
 	return state.Command{
-		Kind: kind, IdempotencyKey: fmt.Sprintf("ask-%d", s.requestCount), RequestedAt: state.RequestTimeUnknown,
+		Kind: kind, IdempotencyKey: s.idempotencyKey(), RequestedAt: state.RequestTimeUnknown,
 	}
 }
 
--- a/tool/sim/control_result.go
+++ b/tool/sim/control_result.go
@@ -42,16 +42,9 @@
 	s.checkHistory()
 	s.checkDraining()
 	s.checkPerWorkerLimit()
-	result := newResult(s.world, &s.oracle)
-	result.LastFault, result.FaultsPlayed = s.lastFaultAt, s.faultsPlayed
-	result.countRuns(s.runs)
-	result.countJobs(s.jobs)
+	result := s.newResult()
+	result.FaultsPlayed = s.faultsPlayed
 	s.checkGivenUp(result.FirstStarts)
-	for _, n := range s.controls {
-		if r := n.replica(); r != nil {
-			result.Views = max(result.Views, r.View().Epoch)
-		}
-	}
 	result.takeJudgement(&s.oracle)
 	return result
 }
--- a/tool/sim/control_scenario.go
+++ b/tool/sim/control_scenario.go
@@ -62,12 +62,8 @@
 // replica with its own dispatcher, gateways that carry commands to them, and a node agent
 // beside each worker. Clients submit jobs of steps through the gateways.
 type ControlScenario struct {
-	oracle
-	options  Options
-	world    *World
-	zones    []string
+	scenario // its replicas are the control processes
 	size     Size
-	controls []*node
 	proxies  []*node
 	gateways []*node
 	machines []*workerMachine
@@ -76,17 +72,12 @@
 
 	pollInterval  time.Duration
 	configVersion uint64 // the last that was acknowledged
-	requestCount  int    // operators' requests, which numbers their idempotency keys
 	draining      bool   // a zone is being drained
 
-	lastFaultAt time.Duration
-	// nextDiskLossAt is when another disk may be lost.
-	nextDiskLossAt time.Duration
-	lostForGood    int // machines that have lost their worker for good
+	lostForGood int // machines that have lost their worker for good
 	// onAccept, if set, is called when the next job is accepted.
 	onAccept     func()
 	faultsPlayed map[string]int // by name
-	replacements int            // control processes that were replaced, which numbers their addresses
 	// clockSlack is by how much clocks may differ.
 	clockSlack time.Duration
 }
@@ -105,11 +96,7 @@
 	s.scheduleFaults()
 	s.watchLeader(s.world, s.primary)
 	s.world.After(configPollFrom, s.pollConfig)
-	s.world.RunUntil(options.Duration + recoveryBound + probesRun)
-	for s.world.Now < s.end && s.hasOpenJobs() {
-		s.world.RunUntil(s.world.Now + time.Second)
-	}
-	s.end = s.world.Now
+	s.runToEnd()
 	s.logOpenJobs()
 	return s.finish()
 }
@@ -117,14 +104,13 @@
 // newControlScenario builds the site of a scenario.
 func newControlScenario(options Options) *ControlScenario {
 	s := &ControlScenario{
-		oracle: newOracle(), options: options, world: NewWorld(options.Seed),
-		zones: []string{"a", "b", "c"}, size: SmallSize, pollInterval: statusInterval,
+		scenario: newScenario(options, []string{"a", "b", "c"}), size: SmallSize, pollInterval: statusInterval,
 		jobsByID: map[string]*clientJob{}, gangs: map[string]*gangAttempt{}, faultsPlayed: map[string]int{},
 	}
 	if options.Size.Controls > 0 {
 		s.size = options.Size
 	}
-	s.world.Log, s.world.hardware, s.world.backupCount = options.Log, options.Hardware, s.size.BackupCount
+	s.world.hardware, s.world.backupCount = options.Hardware, s.size.BackupCount
 	s.agentWorkers = true
 	s.end = options.Duration + cmp.Or(options.SettleTime, settleTime)
 	for _, class := range []string{classLookup, classBatch, classLong, classPrint} {
@@ -144,7 +130,7 @@
 		return s.world.AddNode(role, fmt.Sprintf("%s-%d", role, number), s.zoneOf(i), address, seeds, founders)
 	}
 	for i := range s.size.Controls {
-		s.controls = append(s.controls, add(roleControl, i, i+1, seeds[i], seeds))
+		s.replicas = append(s.replicas, add(roleControl, i, i+1, seeds[i], seeds))
 	}
 	for number := range s.size.Proxies {
 		i := s.size.Controls + number
@@ -153,14 +139,12 @@
 	for i := range s.size.Gateways {
 		s.gateways = append(s.gateways, add(roleLeaderClient, i, i+1, gatewayAddress(i), nil))
 	}
-	s.daemons = slices.Concat(s.controls, s.proxies, s.gateways)
+	s.daemons = slices.Concat(s.replicas, s.proxies, s.gateways)
 	for i := range s.size.Workers {
 		s.addMachine(i, seeds)
 	}
 }
 
-func (s *ControlScenario) zoneOf(i int) string { return s.zones[i%len(s.zones)] }
-
 func controlAddress(i int) string { return fmt.Sprintf("10.%d.1.%d:7000", i%3, i/3+1) }
 
 func gatewayAddress(i int) string { return fmt.Sprintf("10.%d.2.%d:7000", i%3, i/3+1) }
@@ -186,36 +170,10 @@
 	s.world.At(2*time.Second+time.Duration(i)*10*time.Millisecond, func() { s.bootWorker(machine) })
 }
 
-func (s *ControlScenario) primary() *node { return primaryOf(s.controls) }
-
-// randomControl draws a control process.
-func (s *ControlScenario) randomControl() *node { return s.controls[s.world.rng.IntN(len(s.controls))] }
-
-// randomDaemon draws a daemon.
-func (s *ControlScenario) randomDaemon() *node { return s.daemons[s.world.rng.IntN(len(s.daemons))] }
-
 // leaderOrRandom returns the control process that serves, or a random one.
 func (s *ControlScenario) leaderOrRandom() *node {
 	if n := s.primary(); n != nil {
 		return n
 	}
-	return s.randomControl()
-}
-
-// allMembersUp reports whether every voter of the newest view is a control process that
-// is up.
-func (s *ControlScenario) allMembersUp() bool { return allMembersUp(s.controls) }
-
-// hasOpenJobs reports whether a job has not ended yet.
-func (s *ControlScenario) hasOpenJobs() bool {
-	return slices.ContainsFunc(s.jobs, func(job *clientJob) bool { return job.endedAt == 0 && job.rejection == 0 })
-}
-
-// degrade notes that speed is not judged for a while.
-func (s *ControlScenario) degrade(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
-
-// degradeDaemons is degrade for a fault of the daemons themselves.
-func (s *ControlScenario) degradeDaemons(duration time.Duration) {
-	s.degrade(duration)
-	s.lastFaultAt = max(s.lastFaultAt, s.world.Now)
+	return s.randomReplica()
 }
--- a/tool/sim/control_test.go
+++ b/tool/sim/control_test.go
@@ -70,25 +70,11 @@
 	options := controlOptions(t, 71, "none")
 	restarts := 0
 	options.PrepareControl = func(s *ControlScenario) {
-		for i, n := range slices.Concat(s.controls, s.gateways, s.controls) {
-			at := 9*time.Second + time.Duration(i)*3500*time.Millisecond
-			s.world.At(at, func() { s.world.Stop(n) })
-			s.world.At(at+1500*time.Millisecond, func() {
-				if n.state != down {
-					t.Errorf("%s still runs 1.5 s after it was asked to end", n.name)
-					s.world.Kill(n)
-				}
-				restarts++
-				s.world.Boot(n)
-			})
-		}
+		daemons := slices.Concat(s.replicas, s.gateways, s.replicas)
+		restartInTurn(t, s.world, daemons, 3500*time.Millisecond, &restarts)
 	}
 	r := PlayControl(options)
-	slow := countOver(r.QuickStartMillis, 1000)
-	if len(r.Violations) > 0 || restarts != 9 || slow > 5 {
-		t.Errorf("%d restarts, %d of %d quick jobs over 1 s, %v", restarts, slow, len(r.QuickStartMillis), r.Violations)
-	}
-	t.Logf("views %d, quick jobs p99 %.1f ms, %d over 1 s", r.Views, percentile(r.QuickStartMillis, .99), slow)
+	checkUnnoticed(t, r, restarts, 9)
 }
 
 func TestControlIsDeterministic(t *testing.T) {
--- a/tool/sim/core_faults.go
+++ b/tool/sim/core_faults.go
@@ -48,7 +48,7 @@
 
 // resetConnections closes all connections of a control process.
 func (s *ControlScenario) resetConnections() bool {
-	s.world.ResetConnections(s.randomControl())
+	s.world.ResetConnections(s.randomReplica())
 	s.degradeDaemons(6 * time.Second)
 	return true
 }
@@ -82,7 +82,7 @@
 
 // blockOneWay blocks the link from one control process to another.
 func (s *ControlScenario) blockOneWay() bool {
-	from, to := s.randomControl(), s.randomControl()
+	from, to := s.randomReplica(), s.randomReplica()
 	if from == to {
 		return false
 	}
@@ -93,7 +93,7 @@
 
 // fillDisk fills the disk of a control process for a while.
 func (s *ControlScenario) fillDisk() bool {
-	n := s.randomControl()
+	n := s.randomReplica()
 	s.world.logf("full disk %s", n.name)
 	n.diskFull = true
 	s.world.After(s.randomMillis(2000, 7000), func() {
@@ -106,7 +106,7 @@
 
 // stallDisk stalls the disk of a control process for a while.
 func (s *ControlScenario) stallDisk() bool {
-	n := s.randomControl()
+	n := s.randomReplica()
 	s.world.logf("stalled disk %s", n.name)
 	n.diskStalled = true
 	s.world.After(s.randomMillis(500, 7000), func() { n.diskStalled = false })
@@ -116,10 +116,9 @@
 
 // wipeDisk takes the disk of a control process.
 func (s *ControlScenario) wipeDisk() bool {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return false
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	s.wipeAndBoot()
 	s.degradeDaemons(14 * time.Second)
 	return true
@@ -127,7 +126,7 @@
 
 // stepClock changes the time of day of a control process.
 func (s *ControlScenario) stepClock() bool {
-	n := s.randomControl()
+	n := s.randomReplica()
 	n.wallSkew = time.Duration(s.world.rng.Int64N(int64(2*maxClockStep))) - maxClockStep
 	s.clockSlack = maxClockStep
 	s.world.logf("clock of %s is off by %s", n.name, n.wallSkew)
@@ -136,12 +135,11 @@
 
 // loseTwoControls kills the leader and another control process, and may take their disks.
 func (s *ControlScenario) loseTwoControls() bool {
-	if s.size.BackupCount < 2 || !s.mayLoseDisk() {
+	if s.size.BackupCount < 2 || !s.takeDisk() {
 		return false
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	leader := s.leaderOrRandom()
-	others := slices.DeleteFunc(slices.Clone(s.controls), func(n *node) bool { return n == leader })
+	others := slices.DeleteFunc(slices.Clone(s.replicas), func(n *node) bool { return n == leader })
 	for _, n := range []*node{leader, others[s.world.rng.IntN(len(others))]} {
 		if s.world.coin() {
 			s.world.Wipe(n)
@@ -156,7 +154,7 @@
 
 // restartWhileIsolated restarts a control process while it is isolated.
 func (s *ControlScenario) restartWhileIsolated() bool {
-	n := s.randomControl()
+	n := s.randomReplica()
 	s.world.logf("isolate %s, which restarts", n.name)
 	s.world.Isolate(n.address)
 	s.kill(n)
@@ -170,7 +168,7 @@
 func (s *ControlScenario) restartWithOtherSeeds() bool {
 	n := s.randomDaemon()
 	s.kill(n)
-	n.seeds = []string{s.randomControl().address, s.randomControl().address}
+	n.seeds = []string{s.randomReplica().address, s.randomReplica().address}
 	s.bootAfter(n, 300, 2000)
 	s.degradeDaemons(10 * time.Second)
 	return true
@@ -178,22 +176,21 @@
 
 // replaceControl has a control process go for good and another one come at a new address.
 func (s *ControlScenario) replaceControl() bool {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return false
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
-	i := s.world.rng.IntN(len(s.controls))
-	old := s.controls[i]
+	i := s.world.rng.IntN(len(s.replicas))
+	old := s.replicas[i]
 	s.world.Kill(old)
 	s.replacements++
 	name := fmt.Sprintf("%s-new-%d", roleControl, s.replacements)
 	address := fmt.Sprintf("10.9.1.%d:7000", s.replacements)
-	others := slices.DeleteFunc(slices.Concat(s.controls, s.proxies), func(n *node) bool { return n == old })
+	others := slices.DeleteFunc(slices.Concat(s.replicas, s.proxies), func(n *node) bool { return n == old })
 	seeds := addressesOf(others)
 	s.world.After(s.randomMillis(500, 3000), func() {
 		n := s.world.AddNode(roleControl, name, old.zone, address, seeds, nil)
-		s.controls[i] = n
-		s.daemons[slices.Index(s.daemons, old)] = n
+		s.replicas[i] = n
+		s.replaceDaemon(old, n)
 	})
 	s.degradeDaemons(14 * time.Second)
 	return true
@@ -202,7 +199,7 @@
 // stopControl asks a control process, half of the time the leader, to hand over and end,
 // and restarts it.
 func (s *ControlScenario) stopControl() bool {
-	n := s.randomControl()
+	n := s.randomReplica()
 	if s.world.coin() {
 		n = s.leaderOrRandom()
 	}
--- a/tool/sim/fleet_clients.go
+++ b/tool/sim/fleet_clients.go
@@ -60,7 +60,7 @@
 }
 
 // callerIn is a client in the zone with a number.
-func (s *FleetScenario) callerIn(i int) client { return client{callerName, s.zones[i%len(s.zones)]} }
+func (s *FleetScenario) callerIn(i int) client { return client{callerName, s.zoneOf(i)} }
 
 func (s *FleetScenario) gatewayFor(i int) string { return s.gateways[i%len(s.gateways)] }
 
--- a/tool/sim/fleet_daemons_test.go
+++ b/tool/sim/fleet_daemons_test.go
@@ -43,6 +43,33 @@
 	}
 }
 
+// restartInTurn stops and starts daemons in turn, and counts the restarts. Each must have
+// ended 1.5 s after it was asked to.
+func restartInTurn(t *testing.T, w *World, daemons []*node, interval time.Duration, restarts *int) {
+	for i, n := range daemons {
+		at := 9*time.Second + time.Duration(i)*interval
+		w.At(at, func() { w.Stop(n) })
+		w.At(at+1500*time.Millisecond, func() {
+			if n.state != down {
+				t.Errorf("%s still runs 1.5 s after it was asked to end", n.name)
+				w.Kill(n)
+			}
+			*restarts++
+			w.Boot(n)
+		})
+	}
+}
+
+// checkUnnoticed checks that nobody noticed the restarts.
+func checkUnnoticed(t *testing.T, r Result, restarts, want int) {
+	t.Helper()
+	slow := countOver(r.QuickStartMillis, 1000)
+	if len(r.Violations) > 0 || restarts != want || slow > 5 {
+		t.Errorf("%d restarts, %d of %d quick jobs over 1 s, %v", restarts, slow, len(r.QuickStartMillis), r.Violations)
+	}
+	t.Logf("views %d, quick jobs p99 %.1f ms, %d over 1 s", r.Views, percentile(r.QuickStartMillis, .99), slow)
+}
+
 // TestRollingFleetRestart stops and starts every daemon in turn, as for a new release, with
 // speed judged all the time: nobody is to notice.
 func TestRollingFleetRestart(t *testing.T) {
@@ -50,23 +77,8 @@
 	options.Duration = 60 * time.Second
 	restarts := 0
 	options.Prepare = func(s *FleetScenario) {
-		for i, n := range s.daemons {
-			at := 9*time.Second + time.Duration(i)*3*time.Second
-			s.world.At(at, func() { s.world.Stop(n) })
-			s.world.At(at+1500*time.Millisecond, func() {
-				if n.state != down {
-					t.Errorf("%s still runs 1.5 s after it was asked to end", n.name)
-					s.world.Kill(n)
-				}
-				restarts++
-				s.world.Boot(n)
-			})
-		}
+		restartInTurn(t, s.world, s.daemons, 3*time.Second, &restarts)
 	}
 	r := PlayFleet(options)
-	slow := countOver(r.QuickStartMillis, 1000)
-	if len(r.Violations) > 0 || restarts != 17 || slow > 5 {
-		t.Errorf("%d restarts, %d of %d quick jobs over 1 s, %v", restarts, slow, len(r.QuickStartMillis), r.Violations)
-	}
-	t.Logf("views %d, quick jobs p99 %.1f ms, %d over 1 s", r.Views, percentile(r.QuickStartMillis, .99), slow)
+	checkUnnoticed(t, r, restarts, 17)
 }
--- a/tool/sim/fleet_faults_daemons.go
+++ b/tool/sim/fleet_faults_daemons.go
@@ -2,20 +2,11 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"sorrelloom/tool/deploy"
 )
 
-// diskRepairTime is how long after a lost disk no other one is taken.
-const diskRepairTime = 20 * time.Second
-
-// mayLoseDisk reports whether no disk is missing that another one would be too many.
-func (s *FleetScenario) mayLoseDisk() bool {
-	return s.world.Now >= s.nextDiskLossAt && s.allMembersUp()
-}
-
 // killDaemon kills a daemon, which comes back.
 func (s *FleetScenario) killDaemon() {
 	n := s.randomDaemon()
@@ -97,10 +88,9 @@
 
 // wipeReplica takes the disk of a replica, if none is missing.
 func (s *FleetScenario) wipeReplica() {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	n := s.randomReplica()
 	s.world.Wipe(n)
 	s.world.After(s.world.secondsFrom(0, 4), func() { s.world.Boot(n) })
@@ -109,20 +99,18 @@
 
 // wipePrimaryOnAccept has the primary lose its disk when the next job is accepted.
 func (s *FleetScenario) wipePrimaryOnAccept() {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	s.wipeOnAccept = true
 }
 
 // replaceReplica takes a replica away for good, and adds one at a new address that knows
 // three gateways.
 func (s *FleetScenario) replaceReplica() {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	i := s.world.rng.IntN(len(s.replicas))
 	old := s.replicas[i]
 	s.world.Kill(old)
@@ -138,13 +126,6 @@
 	s.degradeDaemons(14 * time.Second)
 }
 
-// replaceDaemon puts a daemon in the place of another one.
-func (s *FleetScenario) replaceDaemon(old, replacement *node) {
-	if i := slices.Index(s.daemons, old); i >= 0 {
-		s.daemons[i] = replacement
-	}
-}
-
 // addressesOf lists the addresses of nodes.
 func addressesOf(nodes []*node) []string {
 	addresses := make([]string, len(nodes))
@@ -156,10 +137,9 @@
 
 // loseZone takes a whole zone away for nine seconds, if no disk is missing.
 func (s *FleetScenario) loseZone() {
-	if !s.mayLoseDisk() {
+	if !s.takeDisk() {
 		return
 	}
-	s.nextDiskLossAt = s.world.Now + diskRepairTime
 	zone := s.zones[s.world.rng.IntN(len(s.zones))]
 	s.world.logf("lose zone %s", zone)
 	for _, n := range s.daemons {
@@ -191,7 +171,7 @@
 func (s *FleetScenario) loseZoneAndDisk() {
 	s.loseZone()
 	s.world.After(11*time.Second, func() {
-		if s.allMembersUp() {
+		if allMembersUp(s.replicas) {
 			s.nextDiskLossAt = 0
 			s.wipeReplica()
 		}
--- a/tool/sim/fleet_operators.go
+++ b/tool/sim/fleet_operators.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"net/http"
 	"slices"
 	"time"
@@ -43,14 +42,13 @@
 ) {
 	i := s.world.rng.IntN(len(s.gateways))
 	if request.IdempotencyKey == "" {
-		s.requestCount++
-		request.IdempotencyKey = fmt.Sprintf("ask-%d", s.requestCount)
+		request.IdempotencyKey = s.idempotencyKey()
 	}
 	pending := s.watchCommittable(s.world, func() bool { return s.canServe(s.gatewayFor(i)) })
 	var send func()
 	send = func() {
 		i++
-		from := client{operatorName, s.zones[i%len(s.zones)]}
+		from := client{operatorName, s.zoneOf(i)}
 		s.world.CallGateway(from, s.gatewayFor(i), request, operatorTimeout, func(reply gateway.Reply, ok bool) {
 			if ok && reply.StatusCode != http.StatusServiceUnavailable {
 				done(pending.finish(s.world.Now), reply)
--- a/tool/sim/fleet_scenario.go
+++ b/tool/sim/fleet_scenario.go
@@ -19,21 +19,11 @@
 // deployment's traffic with gangs and labels in it, faults of the chosen kinds at random
 // times, one last fault, and probes some time after it.
 type FleetScenario struct {
-	oracle
-	options  Options
-	world    *World
-	zones    []string
-	gateways []string // addresses
-	replicas []*node
-
-	requestCount    int // operators' requests, which numbers their idempotency keys
+	scenario
+	gateways        []string // addresses
 	configConflicts int
-	lastFaultAt     time.Duration
-	// nextDiskLossAt is when another disk may be lost.
-	nextDiskLossAt time.Duration
 	// wipeOnAccept says that the primary loses its disk when the next job is accepted.
 	wipeOnAccept bool
-	replacements int // daemons that were replaced, which numbers their addresses
 }
 
 // PlayFleet plays one fleet scenario to its end.
@@ -52,20 +42,14 @@
 	}
 	s.scheduleFaults()
 	s.watchLeader(s.world, s.primary)
-	s.world.RunUntil(options.Duration + recoveryBound + probesRun)
-	for s.world.Now < s.end && s.hasOpenJobs() {
-		s.world.RunUntil(s.world.Now + time.Second)
-	}
-	s.end = s.world.Now
+	s.runToEnd()
 	return s.finish()
 }
 
 // newFleetScenario builds the fleet of a scenario.
 func newFleetScenario(options Options) *FleetScenario {
-	s := &FleetScenario{
-		oracle: newOracle(), options: options, world: NewWorld(options.Seed), zones: options.Deployment.Zones,
-	}
-	s.world.Log, s.world.centralQueue = options.Log, options.CentralQueue
+	s := &FleetScenario{scenario: newScenario(options, options.Deployment.Zones)}
+	s.world.centralQueue = options.CentralQueue
 	s.end = options.Duration + settleTime
 	parsed, violations := config.Parse(options.Deployment.Config)
 	if len(violations) > 0 {
@@ -91,7 +75,7 @@
 		for number := range count {
 			i := len(s.daemons)
 			name := fmt.Sprintf("%s-%d", role, number+1)
-			n := s.world.AddNode(role, name, s.zones[i%len(s.zones)], address(i), seeds, founders)
+			n := s.world.AddNode(role, name, s.zoneOf(i), address(i), seeds, founders)
 			s.daemons, added = append(s.daemons, n), append(added, n)
 		}
 		return added
@@ -114,7 +98,7 @@
 		first := i % len(s.gateways)
 		worker := newSimWorker(fakeworker.Config{
 			ID:      fmt.Sprintf("worker-%02d", i+1),
-			Zone:    s.zones[i%len(s.zones)],
+			Zone:    s.zoneOf(i),
 			Rack:    fmt.Sprintf("r%d", i/deploy.WorkersPerRack),
 			Service: s.options.Deployment.Service,
 			Capacity: state.Resources{
@@ -142,27 +126,6 @@
 // randomWorker draws a worker.
 func (s *FleetScenario) randomWorker() *simWorker { return s.workerAt(s.randomWorkerNumber()) }
 
-// randomDaemon draws a daemon.
-func (s *FleetScenario) randomDaemon() *node { return s.daemons[s.world.rng.IntN(len(s.daemons))] }
-
-// randomReplica draws a replica.
-func (s *FleetScenario) randomReplica() *node { return s.replicas[s.world.rng.IntN(len(s.replicas))] }
-
-func (s *FleetScenario) primary() *node { return primaryOf(s.replicas) }
-
-// allMembersUp reports whether every voter of the newest view is a replica that is up:
-// only then may another disk be lost, since of three one may be missing.
-func (s *FleetScenario) allMembersUp() bool { return allMembersUp(s.replicas) }
-
-// degrade notes that speed is not judged for a while.
-func (s *FleetScenario) degrade(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
-
-// degradeDaemons is degrade for a fault of the daemons themselves.
-func (s *FleetScenario) degradeDaemons(duration time.Duration) {
-	s.degrade(duration)
-	s.lastFaultAt = max(s.lastFaultAt, s.world.Now)
-}
-
 // putFirstConfig puts the deployment's configuration.
 func (s *FleetScenario) putFirstConfig() {
 	request := machine.Request{Kind: gateway.RequestConfigPut, Body: s.options.Deployment.Config}
@@ -175,13 +138,6 @@
 	})
 }
 
-// hasOpenJobs reports whether a job that can end has not ended yet.
-func (s *FleetScenario) hasOpenJobs() bool {
-	return slices.ContainsFunc(s.jobs, func(job *clientJob) bool {
-		return job.endedAt == 0 && job.rejection == 0 && !job.impossible
-	})
-}
-
 // finish has the oracle judge the run, and sums it up.
 func (s *FleetScenario) finish() Result {
 	for _, name := range slices.Sorted(maps.Keys(s.workers)) {
@@ -194,17 +150,9 @@
 	}
 	s.checkHistory()
 	s.checkDraining()
-	result := newResult(s.world, &s.oracle)
-	result.ConfigConflicts, result.LastFault = s.configConflicts, s.lastFaultAt
-	result.countRuns(s.runs)
-	result.countJobs(s.jobs)
+	result := s.newResult()
+	result.ConfigConflicts, result.Locality = s.configConflicts, s.measureLocality()
 	result.measureRestarts(s.runs)
-	result.Locality = s.measureLocality()
-	for _, n := range s.replicas {
-		if r := n.replica(); r != nil {
-			result.Views = max(result.Views, r.View().Epoch)
-		}
-	}
 	result.takeJudgement(&s.oracle)
 	return result
 }
--- a/tool/sim/large_site.go
+++ b/tool/sim/large_site.go
@@ -52,7 +52,7 @@
 		s.world.After(4*time.Second, func() { s.world.Unfreeze(n) })
 	},
 	"all-killed": func(s *ControlScenario) {
-		for _, n := range slices.Concat(s.controls, s.proxies) {
+		for _, n := range slices.Concat(s.replicas, s.proxies) {
 			s.world.KillProcess(n)
 			s.bootAfter(n, 300, 2500)
 		}
--- a/tool/sim/result.go
+++ b/tool/sim/result.go
@@ -50,15 +50,6 @@
 	FaultsPlayed map[string]int
 }
 
-// newResult returns the result of a world with the judgement of an oracle.
-func newResult(w *World, o *oracle) Result {
-	return Result{
-		Seed: w.Seed, Trace: w.Trace, MessageCount: w.MessageCount, LogCounts: w.LogCounts,
-		Jobs: len(o.jobs), Runs: len(o.runs), FirstStarts: map[string]time.Duration{},
-		RunsByWorker: map[string]int{}, FailedRunsByWorker: map[string]int{}, RestartMillis: map[string][]float64{},
-	}
-}
-
 // countRuns fills in what is counted of the runs, which are in the order of their starts.
 func (result *Result) countRuns(runs []run) {
 	for _, r := range runs {
