--- a/daemon/compatibility/script_test.go
+++ b/daemon/compatibility/script_test.go
@@ -198,7 +198,8 @@
 	s.heartbeat(w1, func(b *state.Heartbeat) {
 		b.Progress = []state.Progress{{Attempt: attempt("t4"), Checkpoint: "part 1", Percent: 40}}
 		b.Ended = []state.AttemptResult{
-			{Attempt: attempt("t0"), Succeeded: true}, {Attempt: attempt("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
+			{Attempt: attempt("t0"), Succeeded: true},
+			{Attempt: attempt("t1"), Reason: "exit 1", Checkpoint: "part 2", Percent: 60},
 			{Attempt: attempt("t2"), Lost: true}, {Attempt: attempt("t3"), Stopped: true},
 		}
 		b.Running, b.Free.Slots = running[4:], 7
