--- a/core/agent/faults_test.go
+++ b/core/agent/faults_test.go
@@ -226,7 +226,7 @@
 
 // TestRunsSurviveLossAndRestarts has a worker make one call after another and take
 // orders from the reply to its last call only. Calls, replies and reports are lost,
-// and the agent restarts: no run may begin that the primary was told is over, none
+// and the agent restarts: no run may begin that the primary knows is over, none
 // may run beyond the lease, no end may be forgotten before it is acknowledged, and
 // nothing is stuck in the end.
 func TestRunsSurviveLossAndRestarts(t *testing.T) {
--- a/core/agent/report.go
+++ b/core/agent/report.go
@@ -134,7 +134,7 @@
 // reportDueAt returns when the next report of a worker is due, and whether the
 // reply to the one in flight is overdue. A report replaces the one in flight when
 // there is something new, but not shortly before that one is answered: replies
-// renew the lease, so a worker that always has news must not replace its reports
+// renew the lease, so a worker that always has changes must not replace its reports
 // for ever. All of them wait for a reply no longer than the first would have.
 func (a *Agent) reportDueAt(now time.Duration, w *worker) (dueAt time.Duration, replyLost bool) {
 	r := &w.reports
--- a/core/agent/worker.go
+++ b/core/agent/worker.go
@@ -25,7 +25,7 @@
 
 	// leaseExpiry is the end of the lease that the primary granted.
 	leaseExpiry time.Duration
-	// grantedUntil is until when the worker may run by what it was told, on a clock
+	// grantedUntil is until when the worker may run by the replies to its calls, on a clock
 	// as slow as may be.
 	grantedUntil time.Duration
 	// inheritedRuns says that it ran something before its first call here.
--- a/core/agent/worker_test.go
+++ b/core/agent/worker_test.go
@@ -162,7 +162,7 @@
 		after time.Duration
 	}{
 		{"that runs nothing", nil, 20 * ms},
-		{"after its hold", []string{"r"}, lease*103/100 + 200*ms},
+		{"after its last grant", []string{"r"}, lease*103/100 + 200*ms},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			h := newHarness(t, 1)
--- a/core/leaderclient/commands_test.go
+++ b/core/leaderclient/commands_test.go
@@ -49,15 +49,15 @@
 		answeredAgain(accept, status.InvalidJob), status.InvalidJob},
 	{"too much for the second copy", accept, time.Second,
 		answeredAgain(accept, status.QueueFull), status.NoResponse},
-	{"no entry any more for the second copy", accept, time.Second,
+	{"no route any more for the second copy", accept, time.Second,
 		answeredAgain(accept, status.NoRoute), status.NoResponse},
-	{"no entry", accept, time.Second, answered(status.NoRoute), status.NoRoute},
-	{"no entry any more for a question asked again", read, time.Second,
+	{"no route", accept, time.Second, answered(status.NoRoute), status.NoRoute},
+	{"no route any more for a question asked again", read, time.Second,
 		answeredAgain(read, status.NoRoute), status.NoRoute},
 	{"a fault at the second copy", accept, time.Second,
 		answeredAgain(accept, status.Internal), status.NoResponse},
 	{"its time is over", accept, time.Second, waitUntil(1010 * ms), status.NoResponse},
-	{"bounced only, and its time is over", accept, 30 * ms, func(h *harness) {
+	{"rejected only, and its time is over", accept, 30 * ms, func(h *harness) {
 		h.reply(20*ms, "k0", "accept", notPrimary)
 		h.step(40*ms, machine.Input{})
 	}, status.NoResponse},
--- a/core/leaderclient/leader_test.go
+++ b/core/leaderclient/leader_test.go
@@ -24,7 +24,7 @@
 	name  string
 	steps []targetStep
 }{
-	{"it waits for a keeper that leads, and goes to the next when there is no sign", []targetStep{
+	{"it waits for a replica that leads, and goes to the next when there is no sign", []targetStep{
 		{at: 10 * ms, submit: accept},
 		{at: 12 * ms, from: "k0", kind: "prove", reply: received, want: "accept>k0"},
 		{at: 399 * ms},
@@ -78,7 +78,7 @@
 		{at: 52 * ms},
 		{at: 93 * ms, want: "prove>k1"},
 	}},
-	{"a bounce without a hint moves on after a pause", []targetStep{
+	{"a rejection without a hint moves on after a pause", []targetStep{
 		{at: 10 * ms, submit: accept},
 		{at: 12 * ms, from: "k0", kind: "prove", reply: notPrimary},
 		{at: 51 * ms},
@@ -94,7 +94,7 @@
 		{at: 1381 * ms},
 		{at: 1482 * ms, want: "prove>k2"},
 	}},
-	{"keepers that an answer names replace the list, and those to begin from come after them", []targetStep{
+	{"replicas that an answer names replace the list, and those to begin from come after them", []targetStep{
 		{at: 5 * ms, from: "k0", kind: "prove", reply: wire.CommandReply{Replicas: []string{"n0", "n1"}}},
 		{at: 905 * ms, want: "prove>n0"},
 		{at: 1805 * ms, want: "prove>n1"},
