--- a/core/control/proxy.go
+++ b/core/control/proxy.go
@@ -10,11 +10,7 @@
 	"sorrelloom/core/wire"
 )
 
-const (
-	viewQueryInterval = 500 * time.Millisecond
-	// replicaRole is the role of a replica in gossip messages.
-	replicaRole = "keeper"
-)
+const viewQueryInterval = 500 * time.Millisecond
 
 // notAReplica is the proxy's result for every command and heartbeat.
 var notAReplica = state.Result{
@@ -82,7 +78,7 @@
 func (p *Proxy) learnReplicas(gossip wire.Gossip) {
 	p.replicas = nil
 	for _, node := range gossip.Nodes {
-		if node.Role == replicaRole {
+		if node.Role == wire.RoleReplica {
 			p.replicas = append(p.replicas, node.Address)
 		}
 	}
--- a/core/control/proxy_test.go
+++ b/core/control/proxy_test.go
@@ -27,7 +27,7 @@
 	k1, k2 := wire.Member{ID: "k1", Address: "k:1"}, wire.Member{ID: "k2", Address: "k:2"}
 	view := wire.View{Epoch: 3, Primary: k2, Voters: []wire.Member{k1, k2}}
 	gossip := wire.Gossip{Nodes: []wire.Node{
-		{ID: "k1", Role: replicaRole, Address: "k:1"}, {ID: "q", Role: "proxy", Address: "q:1"},
+		{ID: "k1", Role: wire.RoleReplica, Address: "k:1"}, {ID: "q", Role: "proxy", Address: "q:1"},
 	}}
 	for _, row := range []struct {
 		name     string
@@ -84,7 +84,7 @@
 	var nodes []wire.Node
 	for _, address := range replicas {
 		id := n.nodes[address].control.ID()
-		nodes = append(nodes, wire.Node{ID: id, Role: replicaRole, Zone: address, Address: address})
+		nodes = append(nodes, wire.Node{ID: id, Role: wire.RoleReplica, Zone: address, Address: address})
 	}
 	for range 30 {
 		for _, address := range replicas {
--- a/core/feed/replica.go
+++ b/core/feed/replica.go
@@ -23,9 +23,6 @@
 	freshnessBound = 2 * time.Second
 	// primaryTimeout is how long after the last confirmation the primary counts as lost.
 	primaryTimeout = 4 * time.Second
-
-	// roleReplica is the role by which replicas appear in node lists.
-	roleReplica = "keeper"
 )
 
 // ReadReplica is a read-only copy of the replicated state, and the path by which
--- a/core/feed/subscription.go
+++ b/core/feed/subscription.go
@@ -52,7 +52,7 @@
 	r.Replicas, r.upstream.zoneRelay = nil, ""
 	var highest uint64
 	for _, node := range nodes {
-		if node.Role == roleReplica {
+		if node.Role == wire.RoleReplica {
 			r.Replicas = append(r.Replicas, node.Address)
 			continue
 		}
--- a/core/gateway/heartbeat.go
+++ b/core/gateway/heartbeat.go
@@ -19,9 +19,6 @@
 	// noSchedulerDelay the pause while none is known.
 	rerouteDelay     = 100 * time.Millisecond
 	noSchedulerDelay = 200 * time.Millisecond
-
-	// roleScheduler is the role by which schedulers appear in node lists.
-	roleScheduler = "scheduler"
 )
 
 // heartbeatDelivery is where the delivery of a heartbeat to a scheduler stands.
@@ -90,7 +87,7 @@
 	var near, far []string
 	for _, node := range g.nodes {
 		switch {
-		case node.Role != roleScheduler:
+		case node.Role != wire.RoleScheduler:
 		case node.Zone == zone:
 			near = append(near, node.Address)
 		default:
--- a/core/membership/gossiper.go
+++ b/core/membership/gossiper.go
@@ -34,9 +34,6 @@
 	seedEvery = 10
 	// rngStream separates this package's random numbers from others of the same seed.
 	rngStream = 1
-
-	// roleReplica is the role by which replicas appear in node lists.
-	roleReplica = "keeper"
 )
 
 // Config is what a Gossiper starts with.
@@ -158,7 +155,7 @@
 	others := slices.DeleteFunc(g.Nodes(), func(n wire.Node) bool { return n.ID == g.self.ID })
 	g.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	for i, found := 0, 0; i < len(others) && found < replicasFirst; i++ {
-		if others[i].Role == roleReplica {
+		if others[i].Role == wire.RoleReplica {
 			others[found], others[i] = others[i], others[found]
 			found++
 		}
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -51,7 +51,7 @@
 
 func (v *partialView) replicaCount() (count int) {
 	for _, e := range v.entries {
-		if e.node.Role == roleReplica {
+		if e.node.Role == wire.RoleReplica {
 			count++
 		}
 	}
--- a/core/replica/cluster_run_test.go
+++ b/core/replica/cluster_run_test.go
@@ -164,7 +164,9 @@
 	var nodes []wire.Node
 	for _, h := range c.hosts {
 		if h.replica != nil && !h.isolated {
-			nodes = append(nodes, wire.Node{ID: h.replica.ID(), Role: nodeRole, Zone: c.zone(h.address), Address: h.address})
+			nodes = append(nodes, wire.Node{
+				ID: h.replica.ID(), Role: wire.RoleReplica, Zone: c.zone(h.address), Address: h.address,
+			})
 		}
 	}
 	for _, h := range c.hosts {
--- a/core/replica/discovery.go
+++ b/core/replica/discovery.go
@@ -45,7 +45,7 @@
 func (d *discovery) replicas() []wire.Node {
 	var out []wire.Node
 	for _, node := range d.nodes {
-		if node.Role == nodeRole {
+		if node.Role == wire.RoleReplica {
 			out = append(out, node)
 		}
 	}
--- a/core/replica/feed.go
+++ b/core/replica/feed.go
@@ -118,7 +118,7 @@
 	to := r.feed.addresses()
 	if r.isPrimary() {
 		for _, node := range r.discovery.nodes {
-			if node.Role != nodeRole {
+			if node.Role != wire.RoleReplica {
 				to = append(to, node.Address)
 			}
 		}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -23,9 +23,6 @@
 	"sorrelloom/core/wire"
 )
 
-// nodeRole is the role of replicas in the membership list.
-const nodeRole = "keeper"
-
 // Replica is one control process. Its methods must not be called concurrently.
 type Replica struct {
 	config Config
--- a/daemon/cmd/gateway/main.go
+++ b/daemon/cmd/gateway/main.go
@@ -6,6 +6,7 @@
 
 	"sorrelloom/core/gateway"
 	"sorrelloom/core/machine"
+	"sorrelloom/core/wire"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
 	"sorrelloom/daemon/settings"
@@ -13,7 +14,7 @@
 )
 
 func main() {
-	os.Exit(run.Main(settings.RoleGateway, false, build))
+	os.Exit(run.Main(wire.RoleGateway, false, build))
 }
 
 func build(s settings.Settings, _ machine.StoredState) (run.Daemon, error) {
--- a/daemon/cmd/replica/main.go
+++ b/daemon/cmd/replica/main.go
@@ -6,6 +6,7 @@
 
 	"sorrelloom/core/machine"
 	"sorrelloom/core/replica"
+	"sorrelloom/core/wire"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
 	"sorrelloom/daemon/settings"
@@ -13,7 +14,7 @@
 )
 
 func main() {
-	os.Exit(run.Main(settings.RoleReplica, true, build))
+	os.Exit(run.Main(wire.RoleReplica, true, build))
 }
 
 func build(s settings.Settings, stored machine.StoredState) (run.Daemon, error) {
--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -7,6 +7,7 @@
 	"sorrelloom/core/dispatch"
 	"sorrelloom/core/machine"
 	"sorrelloom/core/scheduler"
+	"sorrelloom/core/wire"
 	"sorrelloom/daemon/host"
 	"sorrelloom/daemon/run"
 	"sorrelloom/daemon/settings"
@@ -14,7 +15,7 @@
 )
 
 func main() {
-	os.Exit(run.Main(settings.RoleScheduler, false, build))
+	os.Exit(run.Main(wire.RoleScheduler, false, build))
 }
 
 // status is the status page.
--- a/daemon/cmd/sorrelctl/members.go
+++ b/daemon/cmd/sorrelctl/members.go
@@ -13,7 +13,6 @@
 	"sorrelloom/core/replica"
 	"sorrelloom/core/wire"
 	"sorrelloom/daemon/client"
-	"sorrelloom/daemon/settings"
 )
 
 const (
@@ -73,7 +72,7 @@
 	}
 	var addresses []string
 	for _, node := range known.Nodes {
-		if node.Role == settings.RoleReplica && node.HTTPAddress != "" {
+		if node.Role == wire.RoleReplica && node.HTTPAddress != "" {
 			addresses = append(addresses, node.HTTPAddress)
 		}
 	}
--- a/daemon/cmd/sorrelctl/members_test.go
+++ b/daemon/cmd/sorrelctl/members_test.go
@@ -12,7 +12,6 @@
 	"sorrelloom/core/replica"
 	"sorrelloom/core/state"
 	"sorrelloom/core/wire"
-	"sorrelloom/daemon/settings"
 )
 
 // serveJSON answers GET of one path with a body.
@@ -92,8 +91,8 @@
 func TestMembersAsksGatewayForReplicas(t *testing.T) {
 	leader := serveJSON(t, statusPath, reportOf("one", 4, true))
 	gateway := serveJSON(t, nodesPath, wire.Gossip{Nodes: []wire.Node{
-		{ID: "one", Role: settings.RoleReplica, HTTPAddress: leader},
-		{ID: "f", Role: settings.RoleGateway, HTTPAddress: "127.0.0.1:1"},
+		{ID: "one", Role: wire.RoleReplica, HTTPAddress: leader},
+		{ID: "f", Role: wire.RoleGateway, HTTPAddress: "127.0.0.1:1"},
 	}})
 	var out bytes.Buffer
 	if exit := members([]string{gateway}, nil, time.Second, &out, &out); exit != exitOK {
--- a/daemon/transport/messages_test.go
+++ b/daemon/transport/messages_test.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -250,7 +251,11 @@
 	for _, m := range messages(t) {
 		recorded[m.name] = true
 	}
-	kinds := constants(t, "../../core/wire", "")
+	// Every string constant of core/wire is a kind, but for the roles of nodes.
+	roles := constants(t, "../../core/wire", "Role")
+	kinds := slices.DeleteFunc(constants(t, "../../core/wire", ""), func(value string) bool {
+		return slices.Contains(roles, value)
+	})
 	if len(kinds) != len(bodyOf) {
 		t.Errorf("%d kinds of messages in the source, %d recorded", len(kinds), len(bodyOf))
 	}
--- a/tool/fleet/fleet.go
+++ b/tool/fleet/fleet.go
@@ -13,15 +13,16 @@
 	"strings"
 	"sync"
 
+	"sorrelloom/core/wire"
 	"sorrelloom/daemon/client"
 	"sorrelloom/tool/deploy"
 )
 
 // Roles of processes. The values are also parts of their names.
 const (
-	RoleReplica   = "keeper"
-	RoleScheduler = "scheduler"
-	RoleGateway   = "front"
+	RoleReplica   = wire.RoleReplica
+	RoleScheduler = wire.RoleScheduler
+	RoleGateway   = wire.RoleGateway
 	RoleWorker    = "standin"
 )
 
--- a/tool/scale/core.go
+++ b/tool/scale/core.go
@@ -19,9 +19,6 @@
 	"sorrelloom/daemon/storage"
 )
 
-// roleReplica is the role of core processes in the membership.
-const roleReplica = "keeper"
-
 // CoreConfig is what one core process is started with.
 type CoreConfig struct {
 	Address string
@@ -70,7 +67,7 @@
 func newMembership(config CoreConfig, id string, seeds []string) *membership.Gossiper {
 	return membership.New(membership.Config{
 		Self: wire.Node{
-			ID: id, Role: roleReplica, Zone: config.Zone, Address: config.Address,
+			ID: id, Role: wire.RoleReplica, Zone: config.Zone, Address: config.Address,
 			Incarnation: time.Now().UnixMilli(),
 		},
 		Seeds: seeds, Seed: run.RandomID(),
--- a/tool/sim/node.go
+++ b/tool/sim/node.go
@@ -17,11 +17,11 @@
 
 // Roles of nodes. The values are parts of node names and, for members, of messages.
 const (
-	roleReplica      = "keeper"
-	roleScheduler    = "scheduler"
-	roleGateway      = "front"
+	roleReplica      = wire.RoleReplica
+	roleScheduler    = wire.RoleScheduler
+	roleGateway      = wire.RoleGateway
 	roleControl      = "center"
-	roleControlProxy = "proxy"
+	roleControlProxy = wire.RoleProxy
 	roleLeaderClient = "door" // a gateway of the control composition
 	roleAgent        = "side"
 )
