--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -172,12 +172,12 @@
 	case in.Message.Kind == wire.KindHeartbeatReply:
 		var reply wire.HeartbeatReply
 		if err := machine.Unmarshal(in.Message.Body, &reply); err != nil {
-			out.Log("message_malformed", "kind", in.Message.Kind, "from", in.Message.From, "error", err.Error())
+			out.Warn("message_malformed", "kind", in.Message.Kind, "from", in.Message.From, "error", err.Error())
 			break
 		}
 		a.handleReply(now, reply, &out)
 	case in.Message.Kind != "":
-		out.Log("message_unknown", "kind", in.Message.Kind, "from", in.Message.From)
+		out.Warn("message_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 	}
 	a.nextTimer = 0
 	for _, w := range a.workers() {
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -108,7 +108,7 @@
 	case wire.KindHeartbeatReply:
 		var reply wire.HeartbeatReply
 		if err := machine.Unmarshal(message.Body, &reply); err != nil {
-			out.Log("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
+			out.Warn("message_malformed", "kind", message.Kind, "from", message.From, "error", err.Error())
 			return nil
 		}
 		g.handleHeartbeatReply(now, reply, out)
@@ -121,7 +121,7 @@
 	}
 	results, handled := g.replica.Receive(now, message, out)
 	if !handled {
-		out.Log("message_unknown", "kind", message.Kind, "from", message.From)
+		out.Warn("message_unknown", "kind", message.Kind, "from", message.From)
 	}
 	return results
 }
--- a/core/leaderclient/client.go
+++ b/core/leaderclient/client.go
@@ -120,12 +120,12 @@
 	case in.Message.Kind == wire.KindCommandReply:
 		var reply wire.CommandReply
 		if err := machine.Unmarshal(in.Message.Body, &reply); err != nil {
-			out.Log("message_malformed", "kind", in.Message.Kind, "from", in.Message.From, "error", err.Error())
+			out.Warn("message_malformed", "kind", in.Message.Kind, "from", in.Message.From, "error", err.Error())
 		} else {
 			c.handleReply(now, in.Message.From, reply, &out)
 		}
 	case in.Message.Kind != "":
-		out.Log("message_unknown", "kind", in.Message.Kind, "from", in.Message.From)
+		out.Warn("message_unknown", "kind", in.Message.Kind, "from", in.Message.From)
 	}
 	c.checkLeader(now, &out)
 	c.expirePending(now, &out)
