--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -6,16 +6,16 @@
 // # Safety
 //
 // A worker's lease begins when the heartbeat left that the primary answered, so it
-// ends at the agent no later than at the primary. A reply to a worker grants what
+// ends at the agent no later than at the primary. A reply to a worker passes on what
 // remains of it, and never more. The agent reports the runs of a worker that fell
-// silent as ended only after the last grant, with a margin for clock drift, has
-// passed; a start that was never handed over is reported as lost; and an end is
+// silent as ended only after the lease that it was last told, with a margin for clock
+// drift, has expired; a start that was never handed over is reported as lost; and an end is
 // acknowledged to the worker only after the primary acknowledged it.
 //
 // The agent has no disk. All that it knows comes from calls and replies, so it may
 // be restarted at any moment: a new incarnation learns from the primary which
-// report number comes next, and treats the runs of the first call as granted under
-// a full lease by the incarnation before.
+// report number comes next, and treats the runs of the first call as under a full
+// lease that the incarnation before passed on.
 package agent
 
 import (
--- a/core/agent/calls.go
+++ b/core/agent/calls.go
@@ -97,7 +97,7 @@
 
 // replaceWorker begins with a worker that calls for the first time. The one before
 // it departs: at the same address it has ended, since two workers can't share an
-// address; elsewhere it may run until its last grant has passed.
+// address; elsewhere it may run until the lease that it was last told has expired.
 func (a *Agent) replaceWorker(now time.Duration, call Call, out *machine.Output) *worker {
 	if previous := a.worker; previous != nil {
 		previous.leaving, previous.reports.dirty = true, true
@@ -126,18 +126,18 @@
 	}
 }
 
-// emptyReply returns a reply that grants and orders nothing.
+// emptyReply returns a reply without a lease and without orders.
 func (a *Agent) emptyReply() CallReply {
 	return CallReply{NextCallIn: a.config.CallInterval, FencingEpoch: a.fencingEpoch}
 }
 
-// replyToCall grants what remains of the lease and, unless the call number is
+// replyToCall passes on what remains of the lease and, unless the call number is
 // noOrders, hands over the pending orders.
 func (a *Agent) replyToCall(now time.Duration, w *worker, callNumber uint64) CallReply {
 	reply := a.emptyReply()
 	reply.LeaseRemaining = max(0, w.leaseExpiry-now)
 	reply.AcknowledgedEnds = w.ends.acknowledgedUpTo()
-	w.grantedUntil = max(w.grantedUntil, withClockDrift(now, reply.LeaseRemaining))
+	w.workerLeaseExpiry = max(w.workerLeaseExpiry, withClockDrift(now, reply.LeaseRemaining))
 	if callNumber == noOrders {
 		return reply
 	}
--- a/core/agent/report.go
+++ b/core/agent/report.go
@@ -45,8 +45,8 @@
 }
 
 // allRunsEnded reports whether all that a worker ran has certainly ended: it has
-// been replaced, or it leaves and runs nothing, or its last grant has passed and it
-// leaves or is silent.
+// been replaced, or it leaves and runs nothing, or the lease that it was last told has
+// expired and it leaves or is silent.
 func (a *Agent) allRunsEnded(now time.Duration, w *worker) bool {
 	if w.replaced || w.leaving && len(w.running()) == 0 {
 		return true
@@ -61,13 +61,14 @@
 }
 
 // runDeadline returns when a worker must have ended all its runs by itself. What
-// ran before its first call here may be granted by an earlier incarnation of the
-// agent, for at most a full lease; how long that is, is known with the first reply.
+// ran before its first call here may run under a lease passed on by an earlier
+// incarnation of the agent, for at most a full lease; how long that is, is known with
+// the first reply.
 func (a *Agent) runDeadline(w *worker) (deadline time.Duration, known bool) {
 	if !w.inheritedRuns {
-		return w.grantedUntil, true
+		return w.workerLeaseExpiry, true
 	}
-	return max(w.grantedUntil, withClockDrift(w.firstCallAt, a.leaseDuration)), a.leaseDuration > 0
+	return max(w.workerLeaseExpiry, withClockDrift(w.firstCallAt, a.leaseDuration)), a.leaseDuration > 0
 }
 
 // reportIfDue sends the next report of a worker if it is due, and else sees to it
@@ -111,8 +112,8 @@
 	return w == a.worker && slices.ContainsFunc(a.departing, func(other *worker) bool { return other.replaced })
 }
 
-// suspendReports ends the reports of a silent worker until it calls or its last
-// grant has passed. The primary then lets its lease expire.
+// suspendReports ends the reports of a silent worker until it calls or the lease that it
+// was last told has expired. The primary then lets its lease expire.
 func (a *Agent) suspendReports(now time.Duration, w *worker, out *machine.Output) {
 	if w.reports.inFlight != nil {
 		out.Log("worker_silent", "worker", w.lastCall.Worker)
@@ -159,7 +160,8 @@
 }
 
 // clearOrders clears what is pending for a worker that runs nothing any more. The
-// starts that were never handed over are lost; the others end with its runs.
+// starts that were never handed over are reported as lost; those that were handed over
+// ended with its runs.
 func (a *Agent) clearOrders(w *worker, out *machine.Output) {
 	if !w.lossLogged {
 		w.lossLogged = true
@@ -204,7 +206,7 @@
 	call := &w.lastCall
 	heartbeat := state.Heartbeat{
 		Worker:      call.Worker,
-		Incarnation: 1,
+		Incarnation: 1, // another incarnation of the worker has another name
 		Number:      w.reports.number,
 		Zone:        call.Zone,
 		Rack:        call.Rack,
--- a/core/agent/worker.go
+++ b/core/agent/worker.go
@@ -9,7 +9,7 @@
 
 const (
 	// clockDriftPercent and clockDriftMargin bound how much later than by the agent's
-	// clock a grant may end by the worker's.
+	// clock a lease may end by the worker's.
 	clockDriftPercent = 3
 	clockDriftMargin  = 100 * time.Millisecond
 )
@@ -23,11 +23,11 @@
 	firstCallAt time.Duration
 	lastCallAt  time.Duration
 
-	// leaseExpiry is the end of the lease that the primary granted.
+	// leaseExpiry is the end of the lease that the primary gave the worker.
 	leaseExpiry time.Duration
-	// grantedUntil is until when the worker may run by the replies to its calls, on a clock
-	// as slow as may be.
-	grantedUntil time.Duration
+	// workerLeaseExpiry is the latest end of it by the worker's own clock, as far as the
+	// replies to its calls have passed it on: until then it may run.
+	workerLeaseExpiry time.Duration
 	// inheritedRuns says that it ran something before its first call here.
 	inheritedRuns bool
 
