--- a/core/state/grant.go
+++ b/core/state/grant.go
@@ -5,7 +5,7 @@
 )
 
 // Assignment is a task for a worker. HeartbeatNumber is that of the worker's last
-// report, which may be later than the last one that the state has.
+// heartbeat, which may be later than the last one that the state has.
 type Assignment struct {
 	Job             string `json:"job"`
 	Task            string `json:"task"`
@@ -34,7 +34,8 @@
 	// workers gives the worker of each task.
 	workers map[taskRef]string
 	slots   int
-	// attemptNumber is that of all attempts granted: none of them was used before.
+	// attemptNumber is what all attempts of the grant are numbered: one above the highest
+	// that any of their tasks has had.
 	attemptNumber int
 }
 
@@ -79,7 +80,8 @@
 	return Result{Code: status.OK}
 }
 
-// checkEpoch holds off a scheduler that leads no more.
+// checkEpoch rejects a grant from a scheduler whose leadership has passed on: the epoch is
+// the fencing token.
 func (s *Store) checkEpoch(grant *Grant) rejection {
 	if epoch := s.leaderships[grant.Leadership].Epoch; epoch != grant.Epoch || grant.Epoch == 0 {
 		return newRejection(status.StaleEpoch, "duty %s is at epoch %d, not %d", grant.Leadership, epoch, grant.Epoch)
@@ -170,7 +172,8 @@
 	return rejection{}
 }
 
-// lease stores the lease of a task that passed all checks.
+// lease stores the lease of a task that passed all checks, and the number of the worker's
+// last heartbeat, if it is later than the last one in the state.
 func (s *Store) lease(ref taskRef, task Task, assignment *Assignment, attemptNumber int, borrowed bool) {
 	worker := s.workers[assignment.Worker]
 	if assignment.HeartbeatNumber > worker.Number {
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -28,8 +28,9 @@
 	returnReasonStopped        = "stopped"
 )
 
-// startTimeout is how long after a heartbeat a worker takes starts from its reply.
-const startTimeout = 2 * time.Second
+// startOrderLifetime is how long after a heartbeat a worker takes starts from its reply, by
+// its contract. The start timeout of the limits is another: after it a gang is stopped.
+const startOrderLifetime = 2 * time.Second
 
 // Lease is the right and the order for one worker to run one attempt of a task.
 //
@@ -170,7 +171,7 @@
 		return expiresAt + limits.ExpiryMargin.Duration
 	}
 	if startedAt == 0 {
-		startedAt = max(worker.LastSeenAt, lease.GrantedAt) + startTimeout
+		startedAt = max(worker.LastSeenAt, lease.GrantedAt) + startOrderLifetime
 	}
 	return max(expiresAt, startedAt+lease.RunLimit) + limits.ExpiryMargin.Duration
 }
--- a/core/state/resources.go
+++ b/core/state/resources.go
@@ -2,7 +2,8 @@
 
 // FreeResources is what a worker has left: what it reported free, less every lease
 // that it had not yet listed when it did, less what may still run of an earlier
-// incarnation; and never more than its capacity less all leases.
+// incarnation; and never more than its capacity less all leases, those that are being
+// stopped included, and less what it runs without a lease.
 func (s *Store) FreeResources(worker string) Resources {
 	record := s.workers[worker]
 	return s.freeResourcesWith(record, record.Free)
