--- a/core/replica/cluster_test.go
+++ b/core/replica/cluster_test.go
@@ -255,7 +255,7 @@
 func (c *cluster) primary() *host {
 	for _, h := range c.hosts {
 		up := h.replica != nil && !h.isolated && !h.frozen
-		if up && h.replica.leadershipConfirmed(c.now-h.startedAt+time.Microsecond) {
+		if up && h.replica.LeadershipConfirmed(c.now-h.startedAt+time.Microsecond) {
 			return h
 		}
 	}
--- a/core/replica/commands.go
+++ b/core/replica/commands.go
@@ -113,7 +113,7 @@
 func (r *Replica) handleCommand(now time.Duration, from string, b wire.CommandRequest, out *machine.Output) {
 	// A stopping primary takes no more. With new commands always under way, the next
 	// primary would never have all of them, and leadership would not be handed over.
-	if !r.leadershipConfirmed(now) || r.stopping {
+	if !r.LeadershipConfirmed(now) || r.stopping {
 		if !r.holdCommand(now, from, b) {
 			r.commands.reply(from, r.notPrimaryReply(b.ID), out)
 		}
--- a/core/replica/commit.go
+++ b/core/replica/commit.go
@@ -11,8 +11,8 @@
 	"sorrelloom/core/wire"
 )
 
-// maxAuditEntries is how many audit entries of uncommitted commands a replica that does
-// not serve keeps.
+// maxAuditEntries is to how many audit entries a replica that does not serve cuts those
+// that it keeps, once they are over twice as many.
 const maxAuditEntries = 1024
 
 // pendingAck is an acknowledgement that waits for this replica's disk.
@@ -22,15 +22,16 @@
 	index uint64
 }
 
-// acknowledged gives the last command that is synced wherever a commit requires it, and
-// the newest message that all backups acknowledged.
+// commitPoint is the commit rule. It gives the last command that is synced wherever a
+// commit requires it, and the newest message that all backups acknowledged, for which the
+// answers to reads wait.
 //
 // A commit requires the disks of this primary and of all backups of the view, since any
 // of them may lead the next view. It also requires those that were proposed as backups
 // of the next view: it may be decided at any moment, and then these are the disks that a
 // committed command is guaranteed to be on. A backup that is a candidate itself counts as
 // having nothing, as it may have proposed a view with backups that lack newer commands.
-func (r *Replica) acknowledged() (index, sendID uint64) {
+func (r *Replica) commitPoint() (index, sendID uint64) {
 	index, sendID = r.log.syncedIndex, math.MaxUint64
 	for _, member := range paxos.UnionMembers(r.view().Backups, r.election.proposedBackups) {
 		p := r.peers.of(member.ID)
@@ -45,10 +46,11 @@
 	return index, sendID
 }
 
-// leadershipConfirmed says whether this replica serves and all its backups have answered
+// LeadershipConfirmed says whether this replica serves and all its backups have answered
 // it in this epoch within the suspect timeout. Any one of them may lead the next view, so
-// answers of some of them confirm nothing.
-func (r *Replica) leadershipConfirmed(now time.Duration) bool {
+// answers of some of them confirm nothing. Another replica may lead by now all the same;
+// replies to commands wait for commitPoint besides.
+func (r *Replica) LeadershipConfirmed(now time.Duration) bool {
 	for _, member := range r.view().Backups {
 		if now-r.peers.heardAt(member.ID) >= suspectTimeout {
 			return false
@@ -57,10 +59,6 @@
 	return r.leadership.serving
 }
 
-// LeadershipConfirmed says whether this replica serves and its backups have just
-// confirmed it.
-func (r *Replica) LeadershipConfirmed(now time.Duration) bool { return r.leadershipConfirmed(now) }
-
 // releaseCommitted sends what waited for disks: a backup's acknowledgements, and the
 // primary's replies, audit entries and feed updates once what they rest on is committed.
 func (r *Replica) releaseCommitted(out *machine.Output) {
@@ -68,7 +66,7 @@
 	if !r.leadership.serving {
 		return
 	}
-	index, sendID := r.acknowledged()
+	index, sendID := r.commitPoint()
 	r.log.commitIndex = max(r.log.commitIndex, index)
 	r.commands.release(r.log.commitIndex, sendID, out)
 	r.audit.release(r.log.commitIndex, out)
@@ -93,8 +91,8 @@
 	entries []state.AuditEntry
 }
 
-// add takes new entries. Without the leadership there is nobody to release them, and only
-// the newest are kept, for the case that this replica leads next.
+// add takes new entries. A replica that does not serve releases none, and keeps only the
+// newest, for the case that it leads next.
 func (q *auditQueue) add(entries []state.AuditEntry, serving bool) {
 	q.entries = append(q.entries, entries...)
 	if !serving && len(q.entries) > 2*maxAuditEntries {
--- a/core/replica/feed.go
+++ b/core/replica/feed.go
@@ -87,7 +87,7 @@
 // handleSubscribe begins or renews a subscription, on a confirmed primary only: it must
 // not send updates that a later primary contradicts.
 func (r *Replica) handleSubscribe(now time.Duration, from string, b wire.SubscribeRequest, out *machine.Output) {
-	if !r.leadershipConfirmed(now) {
+	if !r.LeadershipConfirmed(now) {
 		r.rejectSubscriber(from, b, out)
 		return
 	}
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -1,5 +1,6 @@
-// Package replica is the replicated control process as a state machine without I/O:
-// Step takes one input and returns what to send, write and answer.
+// Package replica keeps one copy of the replicated state machine (package state) and of
+// its log, as a state machine without I/O: Step takes one input and returns what to send,
+// write and answer.
 //
 // Replication is primary-backup. The members of a numbered view are its voters; one of
 // them is the primary, one or more others are its backups. The primary orders commands,
@@ -23,7 +24,8 @@
 	"sorrelloom/core/wire"
 )
 
-// Replica is one control process. Its methods must not be called concurrently.
+// Replica is one member of the cluster, or a spare that is in no view yet. Its methods
+// must not be called concurrently.
 type Replica struct {
 	config Config
 	self   wire.Member
@@ -58,7 +60,7 @@
 
 	startedAt time.Duration
 	// roleSince is when the current view was adopted or, on the primary, when it began
-	// to serve in it.
+	// to serve in it; without either since the start, the time of the first step.
 	roleSince       time.Duration
 	wallClock       time.Time
 	stopping        bool
@@ -216,7 +218,8 @@
 	}
 }
 
-// mayHaveMissedView says whether there may be a newer view than the known one.
+// mayHaveMissedView says whether there may be a newer view than the known one: its primary
+// is silent, or is this replica and hears no majority, or this replica is no voter.
 func (r *Replica) mayHaveMissedView(now time.Duration) bool {
 	silentPrimary := now-r.peers.heardAt(r.view().Primary.ID) > 2*suspectTimeout
 	return silentPrimary || r.isPrimary() && !r.hearsMajority(now) ||
--- a/core/replica/replicate_receive.go
+++ b/core/replica/replicate_receive.go
@@ -53,8 +53,8 @@
 }
 
 // rejectStaleSender rejects the messages of a primary whose epoch has passed, and those of
-// one that is neither primary nor backup of the known view. A serving primary accepts
-// nobody's log: it is the only one that extends the history of its epoch.
+// one that is neither primary nor backup of the known view. The primary of that view
+// accepts nobody's log: it is the only one that extends the history of its epoch.
 func (r *Replica) rejectStaleSender(
 	now time.Duration, from string, view wire.View, sender wire.Member, bootID, sendID uint64, out *machine.Output,
 ) bool {
--- a/core/replica/replicate_send.go
+++ b/core/replica/replicate_send.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// probe asks a peer how far it is, at most once a heartbeat interval; replies to its
-// acknowledgements send it what it lacks.
+// probe asks a peer how far it is, at most once a heartbeat interval. Its answer has this
+// replica send it what it lacks (handleAck).
 func (r *Replica) probe(now time.Duration, to wire.Member, out *machine.Output) {
 	if to.ID == "" || now-r.peers.of(to.ID).probedAt < heartbeatInterval {
 		return
@@ -82,8 +82,8 @@
 	r.sendProbe(now, to, out)
 }
 
-// sendProbe sends a message without commands: it asks whether the peer is where the
-// messages to it end.
+// sendProbe sends a message without commands: it asks whether the peer has what was sent
+// to it before.
 func (r *Replica) sendProbe(now time.Duration, to wire.Member, out *machine.Output) {
 	p := r.peers.of(to.ID)
 	p.probedAt = now
@@ -177,8 +177,9 @@
 	}
 }
 
-// restartAt sends a peer the first window after a position of this history. If the peer's
-// history diverged before its position, it is to rewind to that position first.
+// restartAt sends a peer the first window after the position previous of this history. If
+// the peer's own history diverged before it reached divergedAt, where it is now, it is to
+// rewind to previous first.
 func (r *Replica) restartAt(to wire.Member, previous, divergedAt state.LogPosition, out *machine.Output) {
 	limit := r.catchUpLimit()
 	if previous.Index > limit.Index {
--- a/core/replica/report.go
+++ b/core/replica/report.go
@@ -68,7 +68,7 @@
 
 // Report says who leads in which epoch, and how far each member is behind.
 func (r *Replica) Report(now time.Duration) Report {
-	report := Report{Status: r.Status(), LeadershipConfirmed: r.leadershipConfirmed(now), Members: []MemberStatus{}}
+	report := Report{Status: r.Status(), LeadershipConfirmed: r.LeadershipConfirmed(now), Members: []MemberStatus{}}
 	for _, member := range r.view().Voters {
 		report.Members = append(report.Members, r.memberStatus(now, member))
 	}
