--- a/core/dispatch/pull.go
+++ b/core/dispatch/pull.go
@@ -2,15 +2,16 @@
 
 import "sorrelloom/core/state"
 
-// PullRound is one round of pulls over the workers that have free resources: from
-// their own queues or from others', of quick classes only or of all.
+// PullRound is one round of pulls over the workers that have free resources: from their
+// own queues alone or, with Steal, from others' too; of quick classes only or of all. A
+// quick class is one whose tasks go before all others (config.Class).
 type PullRound struct {
 	Steal     bool
 	QuickOnly bool
 }
 
 // PullRounds is the order of the rounds: a quick task comes first whatever queue it
-// is in, then a worker's own queue comes before stealing.
+// is in; among equals a worker's own queue comes before stealing.
 var PullRounds = []PullRound{{QuickOnly: true}, {Steal: true, QuickOnly: true}, {}, {Steal: true}}
 
 // InFlight is what the caller has proposed and not yet seen in the state, or what
@@ -46,7 +47,8 @@
 	skipped map[TaskRef]bool
 }
 
-// Pull proposes the next task for a worker in one round.
+// Pull proposes the next task for a worker in one round, for a gang with those of all
+// its members; nothing for a worker without a free slot or whose health forbids it.
 func (d *Dispatcher) Pull(store *state.Store, worker string, inFlight InFlight, round PullRound) (Proposal, bool) {
 	w, ok := store.Worker(worker)
 	if !ok {
