--- a/daemon/cmd/sorrelctl/commands.go
+++ b/daemon/cmd/sorrelctl/commands.go
@@ -40,24 +40,37 @@
 	{"jobs", 0, get("/v1/jobs")},
 	{"workers", 0, get("/v1/workers")},
 	{"nodes", 0, get("/v1/nodes")},
-	{"duties", 0, get("/v1/duties")},
-	{"plan get", 0, get("/v1/plan")},
-	{"plan check", 1, func(a []string, _ options) apiCall {
+	{"leaderships", 0, get("/v1/duties")},
+	{"config get", 0, get("/v1/plan")},
+	{"config check", 1, func(a []string, _ options) apiCall {
 		return apiCall{method: http.MethodPost, path: "/v1/plan/check", file: a[0]}
 	}},
-	{"plan put", 1, changeConfig(http.MethodPut)},
-	{"plan patch", 1, changeConfig(http.MethodPatch)},
-	{"site empty", 1, post("/v1/sites/", "/empty")},
-	{"site refill", 1, post("/v1/sites/", "/refill")},
+	{"config put", 1, changeConfig(http.MethodPut)},
+	{"config patch", 1, changeConfig(http.MethodPatch)},
+	{"zone drain", 1, post("/v1/sites/", "/empty")},
+	{"zone undrain", 1, post("/v1/sites/", "/refill")},
 	{"worker drain", 1, post("/v1/workers/", "/drain")},
 	{"worker undrain", 1, post("/v1/workers/", "/undrain")},
-	{"worker gone", 1, post("/v1/workers/", "/gone")},
-	{"duty pass", 2, func(a []string, _ options) apiCall {
+	{"worker confirm-dead", 1, post("/v1/workers/", "/gone")},
+	{"leadership move", 2, func(a []string, _ options) apiCall {
 		path := "/v1/duties/" + url.PathEscape(a[0]) + "/pass?to=" + url.QueryEscape(a[1])
 		return apiCall{method: http.MethodPost, path: path}
 	}},
 }
 
+// earlierNames are names of commands in earlier releases, which are still accepted.
+var earlierNames = map[string]string{
+	"duties":      "leaderships",
+	"plan get":    "config get",
+	"plan check":  "config check",
+	"plan put":    "config put",
+	"plan patch":  "config patch",
+	"site empty":  "zone drain",
+	"site refill": "zone undrain",
+	"worker gone": "worker confirm-dead",
+	"duty pass":   "leadership move",
+}
+
 func get(path string) func([]string, options) apiCall {
 	return func([]string, options) apiCall { return apiCall{method: http.MethodGet, path: path} }
 }
@@ -82,12 +95,13 @@
 // parseCommand finds the command that the words stand for.
 func parseCommand(words []string, o options) (apiCall, bool) {
 	for _, c := range commands {
-		name := strings.Split(c.words, " ")
-		if len(words) != len(name)+c.argumentCount {
+		wordCount := len(words) - c.argumentCount
+		if wordCount < 1 {
 			continue
 		}
-		if strings.Join(words[:len(name)], " ") == c.words {
-			return c.call(words[len(name):], o), true
+		name := strings.Join(words[:wordCount], " ")
+		if name == c.words || earlierNames[name] == c.words {
+			return c.call(words[wordCount:], o), true
 		}
 	}
 	return apiCall{}, false
--- a/daemon/cmd/sorrelctl/commands_test.go
+++ b/daemon/cmd/sorrelctl/commands_test.go
@@ -20,6 +20,13 @@
 		{"workers", apiCall{method: "GET", path: "/v1/workers"}},
 		{"nodes", apiCall{method: "GET", path: "/v1/nodes"}},
 		{"duties", apiCall{method: "GET", path: "/v1/duties"}},
+		{"leaderships", apiCall{method: "GET", path: "/v1/duties"}},
+		{"config get", apiCall{method: "GET", path: "/v1/plan"}},
+		{"-base 7 config patch p", apiCall{method: "PATCH", path: "/v1/plan?base=7", file: "p", needsBase: true}},
+		{"zone drain s", apiCall{method: "POST", path: "/v1/sites/s/empty"}},
+		{"zone undrain s", apiCall{method: "POST", path: "/v1/sites/s/refill"}},
+		{"worker confirm-dead w/1", apiCall{method: "POST", path: "/v1/workers/w%2F1/gone"}},
+		{"leadership move s 1.1.1.1:1", apiCall{method: "POST", path: "/v1/duties/s/pass?to=1.1.1.1%3A1"}},
 		{"plan get", apiCall{method: "GET", path: "/v1/plan"}},
 		{"plan check -", apiCall{method: "POST", path: "/v1/plan/check", file: "-"}},
 		{"plan put p", apiCall{method: "PUT", path: "/v1/plan", file: "p", needsBase: true}},
@@ -44,6 +51,20 @@
 	}
 }
 
+// TestEarlierNamesMeanTheSame compares each earlier name of a command with its name of today.
+func TestEarlierNamesMeanTheSame(t *testing.T) {
+	for earlier, name := range earlierNames {
+		for argumentCount := range 3 {
+			arguments := []string{"first", "second"}[:argumentCount]
+			want, wantFound := parseCommand(append(strings.Fields(name), arguments...), options{})
+			got, found := parseCommand(append(strings.Fields(earlier), arguments...), options{})
+			if got != want || found != wantFound {
+				t.Errorf("%s %v: got %+v, %s gives %+v", earlier, arguments, got, name, want)
+			}
+		}
+	}
+}
+
 func TestWrongUsage(t *testing.T) {
 	for _, args := range []string{
 		"", "submit", "jobs now", "plan", "plan put", "plan drop p", "site empty", "duty pass s", "audit verify",
--- a/daemon/cmd/sorrelctl/options.go
+++ b/daemon/cmd/sorrelctl/options.go
@@ -23,19 +23,22 @@
   cancel JOB                  cancel a job
   jobs                        list the jobs that are not finished
   why JOB                     say in a sentence why a job waits
-  plan get                    show the configuration in force, the plan
-  plan check FILE             check a configuration; changes nothing
-  plan put FILE               replace the configuration; needs -base or -force
-  plan patch FILE             merge a change into the configuration; needs -base or -force
-  site empty|refill SITE      drain a zone, or take it back into use
+  config get                  show the configuration in force
+  config check FILE           check a configuration; changes nothing
+  config put FILE             replace the configuration; needs -base or -force
+  config patch FILE           merge a change into the configuration; needs -base or -force
+  zone drain|undrain ZONE     drain a zone, or take it back into use
   worker drain|undrain ID     drain a worker, or take it back into use
-  worker gone ID              confirm that an unresponsive worker will not come back
-  workers | nodes | duties    show what the cluster knows
+  worker confirm-dead ID      confirm that an unresponsive worker will not come back
+  workers | nodes             show what the cluster knows
+  leaderships                 show which scheduler leads which zone's dispatch
   members                     show who leads, in which epoch, and how far each replica is behind
-  duty pass SITE ADDRESS      move the dispatch leadership of a zone to that scheduler
+  leadership move ZONE ADDRESS  move the dispatch leadership of a zone to that scheduler
   audit verify FOLDER...      verify audit logs and their checkpoints
   version                     show the version
 
+Names of earlier releases (plan, site empty, worker gone, duties, duty pass) are accepted too.
+
 Flags:
 `
 
@@ -62,8 +65,8 @@
 		"comma-separated IP:port of gateways; also SORRELCTL_FRONTS")
 	flags.DurationVar(&o.wait, "wait", 0, "status: wait so long for a change")
 	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long one gateway may take")
-	flags.Uint64Var(&o.base, "base", 0, "plan put, patch: the sequence that the change is made on")
-	flags.BoolVar(&o.force, "force", false, "plan put, patch: whatever the sequence is")
+	flags.Uint64Var(&o.base, "base", 0, "config put, patch: the version that the change is made on")
+	flags.BoolVar(&o.force, "force", false, "config put, patch: whatever the version is")
 	flags.StringVar(&o.idempotencyKey, "key", "",
 		"operators' writes: the idempotency key, to repeat a call that had no response; else a new one")
 	flags.StringVar(&statusAddresses, "status", "",
