--- a/daemon/logging/logging.go
+++ b/daemon/logging/logging.go
@@ -1,10 +1,11 @@
 // Package logging writes the process log on standard error: one line of key=value pairs
 // per event, as log/slog's text handler formats it.
 //
-//	time=2026-01-02T03:04:05.006Z level=INFO event=serving node=replica@10.0.0.1:7000 epoch=4
+//	time=2026-01-02T03:04:05.006Z level=INFO event=serving node=keeper@10.0.0.1:7000 epoch=4
 //
 // The handler is called directly, since a slog.Logger looks up the caller of every line,
-// which is not printed here.
+// which is not printed here. The node is named by its role in messages, where a replica
+// is a keeper.
 package logging
 
 import (
