--- a/core/state/leadership.go
+++ b/core/state/leadership.go
@@ -8,47 +8,48 @@
 	"sorrelloom/core/status"
 )
 
-// schedulerTimeout is how long after its last heartbeat a scheduler counts among those
-// whose majority decides.
+// schedulerTimeout is how long after its last heartbeat a scheduler counts as live when
+// the majority for a vote is determined.
 const schedulerTimeout = 4 * time.Second
 
-// Leadership is a role, such as the dispatch of a zone, that one scheduler has at a
-// time. Its Epoch grows whenever it moves, so that what an earlier leader asks for is
-// rejected.
+// Leadership is a role, such as the dispatch of a zone, that one scheduler holds at a
+// time. Its Epoch increases whenever the leader is set, so that requests of an earlier
+// leader are rejected.
 type Leadership struct {
 	Name       string        `json:"name"`
 	Leader     string        `json:"holder"`
 	Epoch      uint64        `json:"epoch"`
 	LastSeenAt time.Duration `json:"seenAt"`
-	// Votes say, for the epoch after this one, whom each scheduler would have lead.
+	// Votes maps each scheduler that has voted on the next epoch to its candidate.
 	Votes map[string]string `json:"votes,omitempty"`
 }
 
-// Scheduler is a scheduler process that has been heard.
+// Scheduler is a scheduler process that has sent a heartbeat.
 type Scheduler struct {
 	ID         string        `json:"id"`
 	Zone       string        `json:"site"`
 	LastSeenAt time.Duration `json:"seenAt"`
 }
 
-// SchedulerHeartbeat keeps a scheduler's registration and its leaderships. With a
-// Leadership it is a vote that this one, if its leader is silent, go to the Candidate;
-// with Transfer it is the leader itself that names its successor.
+// SchedulerHeartbeat renews a scheduler's registration and its leaderships. If Leadership
+// is set, it also votes for the Candidate as the next leader of that leadership, which
+// counts only while the current leader is silent. If Transfer is set and the sender is the
+// current leader, the Candidate succeeds it without a vote.
 type SchedulerHeartbeat struct {
 	Scheduler  string `json:"daemon"`
 	Zone       string `json:"site"`
 	Leadership string `json:"want,omitempty"`
 	Candidate  string `json:"for,omitempty"`
-	// Epoch is that of the leadership which the vote is to end.
+	// Epoch is the epoch of the leadership that the vote is to end.
 	Epoch    uint64 `json:"epoch,omitempty"`
 	Transfer bool   `json:"pass,omitempty"`
 	Leaving  bool   `json:"leaving,omitempty"`
 }
 
-// Leadership gives a leadership by its name, the zero value if nobody had it yet.
+// Leadership returns a leadership by its name; the zero value if it never had a leader.
 func (s *Store) Leadership(name string) Leadership { return s.leaderships[name] }
 
-// Leaderships gives every leadership by name.
+// Leaderships returns all leaderships, sorted by name.
 func (s *Store) Leaderships() []Leadership {
 	leaderships := make([]Leadership, 0, len(s.leaderships))
 	for _, name := range slices.Sorted(maps.Keys(s.leaderships)) {
@@ -57,7 +58,8 @@
 	return leaderships
 }
 
-// Schedulers gives the schedulers that were heard within the given span.
+// Schedulers returns the schedulers whose last heartbeat is no older than the given
+// duration, sorted by ID.
 func (s *Store) Schedulers(within time.Duration) []Scheduler {
 	var schedulers []Scheduler
 	for _, id := range slices.Sorted(maps.Keys(s.schedulers)) {
@@ -68,8 +70,9 @@
 	return schedulers
 }
 
-// schedulerHeartbeat keeps a scheduler known and moves leaderships: the leader may
-// name its successor; when it is silent, a majority of the live schedulers do.
+// schedulerHeartbeat renews a scheduler's registration and takes its vote. A leadership
+// moves when its leader names a successor or, if the leader is silent, when a majority of
+// the live schedulers vote for the same candidate.
 func (s *Store) schedulerHeartbeat(hb SchedulerHeartbeat) Result {
 	s.registerScheduler(&hb)
 	if hb.Leadership == "" {
@@ -102,8 +105,8 @@
 	return Result{Code: status.OK}
 }
 
-// registerScheduler keeps a scheduler and its leaderships known, or forgets one that
-// leaves.
+// registerScheduler renews a scheduler's registration and its leaderships, or removes a
+// scheduler that leaves.
 func (s *Store) registerScheduler(hb *SchedulerHeartbeat) {
 	if hb.Leaving {
 		delete(s.schedulers, hb.Scheduler)
@@ -118,7 +121,7 @@
 	}
 }
 
-// transferLeadership hands a leadership over because an operator asks for it.
+// transferLeadership moves a leadership to another scheduler on an operator's request.
 func (s *Store) transferLeadership(name, candidate string) Result {
 	leadership, known := s.leaderships[name]
 	if !known {
@@ -135,15 +138,15 @@
 	return Result{Code: status.OK}
 }
 
-// takeLeadership gives a leadership to the primary's own dispatcher, which needs no
-// vote: whoever leads the log is fenced by its epoch already.
+// takeLeadership makes the primary's own dispatcher the leader. No vote is needed: the
+// epoch of the replicated log already fences off earlier primaries.
 func (s *Store) takeLeadership(name string, hb SchedulerHeartbeat) Result {
 	s.schedulers[hb.Scheduler] = Scheduler{ID: hb.Scheduler, Zone: hb.Zone, LastSeenAt: s.now}
 	s.setLeader(name, hb.Scheduler)
 	return Result{Code: status.OK}
 }
 
-// setLeader begins the next epoch of a leadership.
+// setLeader starts the next epoch of a leadership with the given leader.
 func (s *Store) setLeader(name, leader string) {
 	s.audit.record(Decision{Kind: decisionSetLeader, Name: name, Worker: leader})
 	s.leaderships[name] = Leadership{
@@ -151,7 +154,7 @@
 	}
 }
 
-// hasMajority says whether more than half of the live schedulers vote for a candidate.
+// hasMajority reports whether more than half of the live schedulers vote for a candidate.
 func hasMajority(votes map[string]string, candidate string, live []Scheduler) bool {
 	count := 0
 	for _, scheduler := range live {
--- a/core/state/leadership_test.go
+++ b/core/state/leadership_test.go
@@ -29,7 +29,7 @@
 	}
 	all()
 	if c := vote("s2", "s2", 1); c != status.StaleEpoch {
-		t.Errorf("a vote while the leader is alive: %v", c)
+		t.Errorf("vote while the leader is live: %v", c)
 	}
 	f.Advance(20 * time.Second)
 	all()
@@ -48,14 +48,14 @@
 	for i, step := range steps {
 		vote(step.by, step.to, step.epoch)
 		if d := f.Store.Leadership(statetest.Leadership); d.Leader != step.leader {
-			t.Fatalf("step %d: led by %s, want %s; %+v", i, d.Leader, step.leader, d)
+			t.Fatalf("step %d: leader is %s, want %s; %+v", i, d.Leader, step.leader, d)
 		}
 	}
 	if c := transfer("s3", "s3", 2); c != status.StaleEpoch {
-		t.Errorf("only the leader names a successor: %v", c)
+		t.Errorf("transfer by a scheduler that is not the leader: %v", c)
 	}
 	if c := transfer("s2", "s3", 2); c != status.OK || f.Store.Leadership(statetest.Leadership).Leader != "s3" {
-		t.Errorf("the leader names its successor: %v", c)
+		t.Errorf("transfer by the leader: %v", c)
 	}
 	same(t, f.Store)
 }
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -8,8 +8,8 @@
 	"sorrelloom/core/config"
 )
 
-// Why a lease is to be stopped. The texts are stored in leases, where replicas of
-// other versions compare them: they stay as they are.
+// Reasons for stopping a leased attempt. The texts are stored in leases and compared by
+// replicas of other versions, so they must not change.
 const (
 	stopReasonGang       = "the gang is not whole"
 	stopReasonRunLimit   = "the run limit passed"
@@ -18,7 +18,7 @@
 	stopReasonPreemptFor = "pushed out for "
 )
 
-// Why a lease was returned. These texts are stored as well.
+// Reasons for which a lease was returned. These texts are stored as well.
 const (
 	returnReasonNotRunning     = "the worker does not run it"
 	returnReasonWorkerReplaced = "its worker was replaced"
@@ -27,57 +27,60 @@
 	returnReasonStopped        = "stopped"
 )
 
-// startOrderLifetime is how long after a heartbeat a worker takes starts from its reply, by
-// its contract. The start timeout of the limits is another: after it a gang is stopped.
+// startOrderLifetime is how long after sending a heartbeat a worker accepts start orders
+// from the reply, according to the worker protocol. It differs from Limits.StartTimeout,
+// after which a gang that has not started is stopped.
 const startOrderLifetime = 2 * time.Second
 
-// Lease is the right and the order for one worker to run one attempt of a task.
+// Lease authorizes and obliges one worker to run one attempt of a task.
 //
-// A task has at most one. It leaves its worker only when the worker says that it
-// does not run the attempt, or when the attempt must have ended: its run limit, the
-// last lease expiry that the worker can have been told, and a margin have passed.
-// Even then a task that may have succeeded is held for a word, unless its class or
-// itself says restart (heldForLostWorker). A success counts from any attempt.
+// A task has at most one lease. The lease is returned only when the worker reports that
+// it does not run the attempt, or when the attempt must have ended: its run limit, the
+// latest expiry of the worker's own lease that the worker can know of, and a margin have
+// passed. Even then a task that may have succeeded keeps its lease until the worker or an
+// operator reports, unless the lost-worker policy of the task or its class is to restart
+// it (heldForLostWorker). A success counts whichever attempt it comes from.
 type Lease struct {
 	AttemptNumber int    `json:"try"`
 	Worker        string `json:"worker"`
 	Incarnation   int64  `json:"incarnation"`
-	// HeartbeatNumber is that of the worker's last report when the lease was granted.
+	// HeartbeatNumber is the number of the worker's last heartbeat when the lease was
+	// granted.
 	HeartbeatNumber uint64        `json:"beat"`
 	GrantedAt       time.Duration `json:"grantedAt"`
 	// RunLimit is how long the worker was told that the attempt may run.
 	RunLimit time.Duration `json:"limit"`
 	// StartedAt is when the worker first listed the attempt.
 	StartedAt time.Duration `json:"startedAt,omitempty"`
-	// OrphanUntil is set once the worker has come back in another incarnation: until
-	// then the attempt may still run.
+	// OrphanUntil is set once the worker has restarted as another incarnation. The
+	// attempt of the earlier one may still run until then.
 	OrphanUntil time.Duration `json:"orphanUntil,omitempty"`
-	// Borrowed says that it was granted over the share of its class.
+	// Borrowed means that the lease was granted beyond the share of its class.
 	Borrowed bool `json:"borrowed,omitempty"`
-	// StopReason, once set, says why the attempt is to be stopped.
+	// StopReason is why the attempt is to be stopped; empty if it is not.
 	StopReason string `json:"stop,omitempty"`
 }
 
-// Held says whether there is a lease: the zero value is none.
+// Held reports whether there is a lease; the zero value means that there is none.
 func (l Lease) Held() bool { return l.AttemptNumber > 0 }
 
-// heldBy says whether a lease is held by the worker of a heartbeat, in its incarnation.
+// heldBy reports whether a lease is held by the worker of a heartbeat, in its incarnation.
 func (l Lease) heldBy(hb *Heartbeat) bool {
 	return l.Worker == hb.Worker && l.Incarnation == hb.Incarnation
 }
 
-// covers says whether the worker of a heartbeat runs an attempt under the lease.
+// covers reports whether the worker of a heartbeat runs an attempt under the lease.
 func (l Lease) covers(attempt Attempt, hb *Heartbeat) bool {
 	return l.heldBy(hb) && l.AttemptNumber == attempt.Number
 }
 
-// attemptOf is the attempt that a task is leased for.
+// attemptOf returns the attempt that a task is leased for.
 func (s *Store) attemptOf(ref taskRef) Attempt {
 	job := s.jobs[ref.job]
 	return Attempt{ref.job, job.Spec.Tasks[ref.index].ID, job.Tasks[ref.index].Lease.AttemptNumber}
 }
 
-// leasedTasks gives the tasks that are leased to a worker, by their numbers.
+// leasedTasks returns the tasks that are leased to a worker, sorted by task number.
 func (s *Store) leasedTasks(worker string) []taskRef {
 	leases := s.usageOf(worker).leases
 	refs := make([]taskRef, 0, len(leases))
@@ -87,8 +90,8 @@
 	return refs
 }
 
-// returnLease takes a lease back without a failure, but for one that was stopped at
-// its run limit. The loss of its worker is counted if lost says so.
+// returnLease ends a lease. A lease that was stopped at its run limit counts as a failure
+// of the task, any other does not. If lost is set, the loss of the worker is counted.
 func (s *Store) returnLease(ref taskRef, lost bool, reason string) {
 	task := *s.taskAt(ref)
 	if task.Lease.StopReason == stopReasonRunLimit {
@@ -108,8 +111,9 @@
 	s.storeUnleased(ref, task, spent)
 }
 
-// storeUnleased stores a task whose lease is over: ready again, or failed for good
-// with its job. The rest of its gang is stopped with it.
+// storeUnleased stores a task whose lease has ended. The task is ready again or, if it has
+// spent its retries, fails for good and its job with it. The other members of its gang are
+// stopped.
 func (s *Store) storeUnleased(ref taskRef, task Task, spent bool) {
 	if task.State == Ready {
 		task.ReadyAt = s.now
@@ -125,7 +129,7 @@
 	s.updateJobState(ref.job)
 }
 
-// stopLease has an attempt stopped, with the rest of its gang.
+// stopLease requests the stop of a leased attempt and of the other members of its gang.
 func (s *Store) stopLease(ref taskRef, reason string) {
 	task := *s.taskAt(ref)
 	task.Lease.StopReason = reason
@@ -133,7 +137,8 @@
 	s.stopGang(ref)
 }
 
-// stopUnstarted stops what a worker has not started yet; what runs may end.
+// stopUnstarted requests the stop of all leases of a worker that it has not started yet;
+// running attempts may finish.
 func (s *Store) stopUnstarted(worker, reason string) {
 	for _, ref := range s.leasedTasks(worker) {
 		task := *s.taskAt(ref)
@@ -144,11 +149,13 @@
 	}
 }
 
-// latestEnd is when an attempt must have ended without a word from its worker.
+// latestEnd returns the time by which an attempt must have ended even if its worker stays
+// silent.
 //
-// The worker stops it at the latest when the last lease that it can have been told
-// expires, where it is configured to, or else at the run limit after the latest time
-// that it can have started; the margin covers the drift of its clock.
+// If attempts are killed at the expiry of the worker's lease (KilledAtLeaseExpiry), that is
+// the latest expiry that the worker can know of. Otherwise it is that expiry or the latest
+// possible start plus the run limit, whichever is later. In both cases a margin is added
+// for the drift of the worker's clock.
 func (s *Store) latestEnd(lease Lease) time.Duration {
 	if lease.OrphanUntil > 0 {
 		return lease.OrphanUntil
@@ -164,8 +171,9 @@
 	return max(expiresAt, startedAt+lease.RunLimit) + limits.ExpiryMargin.Duration
 }
 
-// heldForLostWorker says whether only a word, the worker's or an operator's, frees a
-// task whose worker is silent: it may have succeeded, and must not start again.
+// heldForLostWorker reports whether a task whose worker is silent keeps its lease until
+// the worker or an operator reports on it: the attempt may have succeeded, and the task
+// must not start again.
 func (s *Store) heldForLostWorker(job *Job, i int) bool {
 	task, policy := job.Tasks[i], job.Spec.Tasks[i].LostWorkerPolicy
 	if policy == "" {
@@ -175,23 +183,24 @@
 		task.Lease.OrphanUntil == 0 && !s.workerRecord(task.Lease.Worker).ConfirmedDead
 }
 
-// leaseLapsed says whether a lease is over by the silence of its worker.
+// leaseLapsed reports whether a lease has ended because of its worker's silence.
 func (s *Store) leaseLapsed(now time.Duration, ref taskRef) bool {
 	job := s.jobs[ref.job]
 	return now > s.latestEnd(job.Tasks[ref.index].Lease) && !s.heldForLostWorker(job, ref.index)
 }
 
-// silenceCounts says whether a worker that is not heard is silent: the primary must have
-// served without a pause for long enough to hear it. While nobody served, a worker may have
-// succeeded and found nobody to tell.
-func (s *Store) silenceCounts(now, servingSince time.Duration) bool {
+// silenceIsConclusive reports whether missing heartbeats show that a worker is silent: the
+// primary must have served without a pause for the heartbeat timeout. While no primary was
+// serving, a worker may have succeeded and had nobody to report to. A servingSince of zero
+// comes from an earlier release and always counts.
+func (s *Store) silenceIsConclusive(now, servingSince time.Duration) bool {
 	return servingSince == 0 || now >= servingSince+s.config.Limits.HeartbeatTimeout.Duration
 }
 
-// anyLeaseLapsed says whether any lease is over by the silence of its worker.
+// anyLeaseLapsed reports whether any lease has ended because of its worker's silence.
 func (s *Store) anyLeaseLapsed(now time.Duration) bool {
 	for id, usage := range s.usage {
-		if s.noneDue(now, id, usage) {
+		if s.hasNoDueLeases(now, id, usage) {
 			continue
 		}
 		if slices.ContainsFunc(usage.leases, func(leased leasedTask) bool { return s.leaseLapsed(now, leased.ref) }) {
@@ -201,10 +210,11 @@
 	return false
 }
 
-// noneDue says of a worker at a glance that none of its leases is to be returned or stopped
-// now. Where workers end what they run at the expiry of their own lease, that holds while
-// this has not come, but for leases of an earlier incarnation and for those not started yet.
-func (s *Store) noneDue(now time.Duration, id string, usage *workerUsage) bool {
+// hasNoDueLeases is a quick check that no lease of a worker is to be returned or stopped now; false
+// means only that each lease must be checked. If attempts are killed at the expiry of the
+// worker's lease, none is due before that expiry and its margin, except leases of an earlier
+// incarnation and leases not started yet.
+func (s *Store) hasNoDueLeases(now time.Duration, id string, usage *workerUsage) bool {
 	limits := &s.config.Limits
 	if len(usage.leases) == 0 {
 		return true
@@ -213,7 +223,7 @@
 		now <= s.workerRecord(id).LeaseExpiresAt+limits.ExpiryMargin.Duration
 }
 
-// dueStopReason says why a lease is to be stopped now, nothing if it is not.
+// dueStopReason returns why a lease is to be stopped now; empty if it is not.
 func (s *Store) dueStopReason(now time.Duration, ref taskRef) string {
 	limits, lease := &s.config.Limits, &s.taskAt(ref).Lease
 	switch {
@@ -227,12 +237,13 @@
 	return ""
 }
 
-// dueLeases gives the leases that are to be returned or stopped, by worker and then
-// by task number. It is asked often and mostly finds none, so only these are sorted.
+// dueLeases returns the leases that are to be returned or stopped, sorted by worker and
+// then by task number. It is called often and mostly finds none, so it sorts only the
+// leases found.
 func (s *Store) dueLeases(now time.Duration) []taskRef {
 	var due []taskRef
 	for id, usage := range s.usage {
-		if s.noneDue(now, id, usage) {
+		if s.hasNoDueLeases(now, id, usage) {
 			continue
 		}
 		for i := range usage.leases {
--- a/core/state/lease_test.go
+++ b/core/state/lease_test.go
@@ -9,15 +9,15 @@
 	"sorrelloom/core/status"
 )
 
-// leaseOutcome is how a task stands after what happened to its lease.
+// leaseOutcome is the expected state of a task after an event on its lease.
 type leaseOutcome struct {
 	state            string
 	held             bool
 	failures, losses int
 }
 
-// leaseReturns is what can happen to the lease of a task on worker w1.
-var leaseReturns = []struct {
+// leaseReturnCases are the events that can end the lease of a task on worker w1, or keep it.
+var leaseReturnCases = []struct {
 	name string
 	do   step
 	want leaseOutcome
@@ -33,12 +33,12 @@
 			f.EndAttempt("w1", state.AttemptResult{Attempt: f.StartTask("j/a@w1")})
 		}
 	}, leaseOutcome{state.Failed, false, 3, 0}},
-	{"a start that never came is no failure", func(f *statetest.Fixture) {
+	{"a lost start order is not a failure", func(f *statetest.Fixture) {
 		f.Grant("j/a@w1")
 		f.Heartbeat("w1", nil)
 		f.Heartbeat("w1", nil)
 	}, leaseOutcome{state.Ready, false, 0, 0}},
-	{"one heartbeat after the grant may still bring the start", func(f *statetest.Fixture) {
+	{"the start order may still arrive one heartbeat after the grant", func(f *statetest.Fixture) {
 		f.Grant("j/a@w1")
 		f.Heartbeat("w1", nil)
 	}, leaseOutcome{state.Ready, true, 0, 0}},
@@ -56,12 +56,12 @@
 			f.Heartbeat("w1", func(hb *state.Heartbeat) { hb.Running = nil })
 		}
 	}, leaseOutcome{state.Failed, false, 0, 3}},
-	{"a new incarnation does not free what the old one may run", func(f *statetest.Fixture) {
+	{"a new incarnation keeps the lease while the old one may run", func(f *statetest.Fixture) {
 		f.StartTask("j/a@w1")
 		f.Heartbeat("w1", func(hb *state.Heartbeat) { hb.Incarnation, hb.Number, hb.Running = 2, 1, nil })
 		f.Advance(5 * time.Second)
 	}, leaseOutcome{state.Ready, true, 0, 0}},
-	{"it does once the old lease expiry and the margin have passed", func(f *statetest.Fixture) {
+	{"a new incarnation returns the lease after the old expiry and margin", func(f *statetest.Fixture) {
 		f.StartTask("j/a@w1")
 		f.Heartbeat("w1", func(hb *state.Heartbeat) { hb.Incarnation, hb.Number, hb.Running = 2, 1, nil })
 		f.Advance(8 * time.Second)
@@ -72,7 +72,7 @@
 		f.StartTask("j/a@w2")
 		f.EndAttempt("w1", state.AttemptResult{Attempt: a, Succeeded: true})
 	}, leaseOutcome{state.Done, true, 0, 1}},
-	{"a worker that ran on has its lease again", func(f *statetest.Fixture) {
+	{"a worker that kept running the attempt gets its lease back", func(f *statetest.Fixture) {
 		f.StartTask("j/a@w1")
 		f.Advance(8 * time.Second)
 		f.Heartbeat("w1", nil)
@@ -101,9 +101,9 @@
 	}, leaseOutcome{state.Cancelled, false, 0, 0}},
 }
 
-// TestLeaseReturned follows one task through what can happen to it.
+// TestLeaseReturned checks whether each event returns the lease, and what is counted.
 func TestLeaseReturned(t *testing.T) {
-	for _, row := range leaseReturns {
+	for _, row := range leaseReturnCases {
 		t.Run(row.name, func(t *testing.T) {
 			f := statetest.New(t)
 			f.AddWorker("w1", 4)
@@ -117,28 +117,30 @@
 			}
 			job, _ := f.Store.Job("j")
 			if finished := job.EndedAt > 0; finished != (task.Terminal() && !task.Lease.Held()) {
-				t.Errorf("job %s shows as finished: %v, task %+v", job.State, finished, task)
+				t.Errorf("job %s is finished: %v, task %+v", job.State, finished, task)
 			}
 			same(t, f.Store)
 		})
 	}
 }
 
-// confirmDead has an operator say that worker w1 will not come back.
+// confirmDead applies an operator's confirmation that worker w1 will not come back.
 func confirmDead(f *statetest.Fixture) status.Code {
 	return f.Apply(state.Command{Kind: state.KindConfirmWorkerDead, Name: "w1"}).Code
 }
 
-// restarted has worker w1 come back in another incarnation, with the ends that it knows of.
-func restarted(f *statetest.Fixture, ends ...state.AttemptResult) {
+// restartWorker sends a heartbeat of worker w1 in another incarnation, which reports the given
+// ends.
+func restartWorker(f *statetest.Fixture, ends ...state.AttemptResult) {
 	f.Heartbeat("w1", func(hb *state.Heartbeat) { hb.Incarnation, hb.Number, hb.Running, hb.Ended = 2, 1, nil, ends })
 }
 
-// firstAttempt is what worker w1 runs before it goes silent.
+// firstAttempt is the attempt that worker w1 runs before it goes silent.
 var firstAttempt = state.Attempt{Job: "j", Task: "a", Number: 1}
 
-// lostWorkers is what can happen to a task whose worker w1 goes silent.
-var lostWorkers = []struct {
+// lostWorkerCases are the events after which a task whose worker w1 went silent keeps its lease
+// or loses it.
+var lostWorkerCases = []struct {
 	name, class, policy string
 	runLimit            time.Duration
 	do                  step
@@ -146,81 +148,82 @@
 	state               string
 }{
 	{
-		"restart: not while the run limit lasts, though the lease is over", "quick", "", 30 * time.Second,
+		"restart: not before the run limit, although the worker's lease has expired", "quick", "", 30 * time.Second,
 		advance(30 * time.Second), true, state.Ready,
 	},
 	{
-		"restart: once the run limit and the margin are over", "quick", "", 30 * time.Second,
+		"restart: after the run limit and the margin", "quick", "", 30 * time.Second,
 		advance(32 * time.Second), false, state.Ready,
 	},
 	{
-		"restart: not while the lease lasts, though the run limit is over", "quick", "", time.Second,
+		"restart: not before the worker's lease expires, although the run limit has passed", "quick", "", time.Second,
 		advance(6 * time.Second), true, state.Ready,
 	},
-	{"hold: for a day", "batch", "", time.Second, advance(24 * time.Hour), true, state.Ready},
+	{"hold: silent for a day", "batch", "", time.Second, advance(24 * time.Hour), true, state.Ready},
 	{
-		"hold by the task in a class that restarts", "quick", "hold", time.Second,
+		"policy hold of the task overrides restart of its class", "quick", "hold", time.Second,
 		advance(time.Hour), true, state.Ready,
 	},
 	{
-		"restart by the task in a class that holds", "batch", "restart", time.Second,
+		"policy restart of the task overrides hold of its class", "batch", "restart", time.Second,
 		advance(time.Hour), false, state.Ready,
 	},
-	{"hold: heard again, it runs on", "batch", "", time.Minute, func(f *statetest.Fixture) {
+	{"hold: the worker reports again that it runs the attempt", "batch", "", time.Minute, func(f *statetest.Fixture) {
 		f.Advance(time.Hour)
 		f.Heartbeat("w1", nil)
 	}, true, state.Ready},
-	{"hold: heard again, it succeeded meanwhile", "batch", "", time.Minute, func(f *statetest.Fixture) {
+	{"hold: the worker reports again, a success", "batch", "", time.Minute, func(f *statetest.Fixture) {
 		f.Advance(time.Hour)
 		f.EndAttempt("w1", state.AttemptResult{Attempt: firstAttempt, Succeeded: true})
 	}, false, state.Done},
-	{"hold: heard again, it does not run", "batch", "", time.Minute, func(f *statetest.Fixture) {
+	{"hold: the worker reports again, not running the attempt", "batch", "", time.Minute, func(f *statetest.Fixture) {
 		f.Advance(time.Hour)
 		f.Heartbeat("w1", func(hb *state.Heartbeat) { hb.Running = nil })
 	}, false, state.Ready},
-	{"hold: restarted with a note of the success", "batch", "", time.Second, func(f *statetest.Fixture) {
+	{"hold: the worker restarts and reports a success", "batch", "", time.Second, func(f *statetest.Fixture) {
 		f.Advance(time.Hour)
-		restarted(f, state.AttemptResult{Attempt: firstAttempt, Succeeded: true})
+		restartWorker(f, state.AttemptResult{Attempt: firstAttempt, Succeeded: true})
 	}, false, state.Done},
-	{"hold: restarted without one, the old run may still last", "batch", "", time.Minute, func(f *statetest.Fixture) {
+	{"hold: the worker restarts, the old attempt may still run", "batch", "", time.Minute, func(f *statetest.Fixture) {
 		f.Advance(20 * time.Second)
-		restarted(f)
+		restartWorker(f)
 		f.Advance(20 * time.Second)
 	}, true, state.Ready},
-	{"hold: restarted without one, and the old run is over", "batch", "", time.Minute, func(f *statetest.Fixture) {
+	{"hold: the worker restarts, the old attempt must have ended", "batch", "", time.Minute, func(f *statetest.Fixture) {
 		f.Advance(50 * time.Second)
-		restarted(f)
+		restartWorker(f)
 		f.Advance(12 * time.Second)
 	}, false, state.Ready},
-	{"an operator cannot say it of a worker that is heard", "batch", "", time.Second, func(f *statetest.Fixture) {
+	{"an operator cannot confirm a live worker dead", "batch", "", time.Second, func(f *statetest.Fixture) {
 		if c := confirmDead(f); c != status.WorkerAlive {
 			f.T.Errorf("confirmed dead: %v", c)
 		}
 		f.Advance(time.Hour)
 	}, true, state.Ready},
-	{"an operator says that it is gone", "batch", "", time.Second, func(f *statetest.Fixture) {
+	{"an operator confirms the worker dead", "batch", "", time.Second, func(f *statetest.Fixture) {
 		f.Advance(time.Hour)
 		if first, again := confirmDead(f), confirmDead(f); first != status.OK || again != status.AlreadyDone {
 			f.T.Errorf("confirmed dead: %v, %v", first, again)
 		}
 		f.Advance(time.Second)
 	}, false, state.Ready},
-	{"an operator says so too early: the run limit still counts", "batch", "", 50 * time.Second,
+	{"an operator confirms the worker dead before the run limit has passed", "batch", "", 50 * time.Second,
 		func(f *statetest.Fixture) {
 			f.Advance(40 * time.Second)
 			confirmDead(f)
 			f.Advance(9 * time.Second)
 		}, true, state.Ready},
-	{"a cancelled task is held no longer than it can run", "batch", "", time.Second, func(f *statetest.Fixture) {
+	{"a cancelled task is held only as long as it can run", "batch", "", time.Second, func(f *statetest.Fixture) {
 		f.Apply(cancelJob("j"))
 		f.Advance(time.Hour)
 	}, false, state.Cancelled},
 }
 
-// TestLostWorkerKeepsWhatMayRunOrHaveSucceeded follows one task whose worker goes
-// silent: when, if ever, another may have it.
-func TestLostWorkerKeepsWhatMayRunOrHaveSucceeded(t *testing.T) {
-	for _, row := range lostWorkers {
+// TestLostWorkerLeaseHeldWhileAttemptMayRunOrHaveSucceeded checks whether a task whose worker goes silent
+// keeps its lease, so that no other worker starts it while the attempt may still run or may
+// have succeeded.
+func TestLostWorkerLeaseHeldWhileAttemptMayRunOrHaveSucceeded(t *testing.T) {
+	for _, row := range lostWorkerCases {
 		t.Run(row.name, func(t *testing.T) {
 			f := statetest.New(t)
 			f.AddWorker("w1", 4)
--- a/core/state/loader.go
+++ b/core/state/loader.go
@@ -8,10 +8,10 @@
 	"sorrelloom/core/machine"
 )
 
-// Errors of a Loader, wrapped with the record that they are about.
+// Errors of a Loader, wrapped with the bucket and key of the record.
 var (
 	ErrUnknownBucket = errors.New("unknown bucket")
-	ErrUnknownTask   = errors.New("there is no such task")
+	ErrUnknownTask   = errors.New("task does not exist in its job")
 )
 
 // Load rebuilds a store from its records.
@@ -25,20 +25,20 @@
 	return loader.Store()
 }
 
-// Loader rebuilds a store from records that come piece by piece, in any order.
+// Loader rebuilds a store from records that arrive one at a time, in any order.
 type Loader struct {
 	store *Store
-	// deferredTasks came before their jobs.
+	// deferredTasks are records of tasks that arrived before their jobs.
 	deferredTasks []machine.Record
 }
 
-// NewLoader begins with an empty store.
+// NewLoader returns a Loader without any records.
 func NewLoader() *Loader { return &Loader{store: New()} }
 
-// Add takes the next record.
+// Add adds the next record.
 func (l *Loader) Add(record machine.Record) error { return recordError(record, l.add(record)) }
 
-// recordError wraps an error with the record that it is about.
+// recordError wraps an error with the bucket and key of its record.
 func recordError(record machine.Record, err error) error {
 	if err == nil {
 		return nil
@@ -104,7 +104,7 @@
 	return err
 }
 
-// Store is the whole once all records are there.
+// Store returns the loaded store. It must be called once all records have been added.
 func (l *Loader) Store() (*Store, error) {
 	for _, record := range l.deferredTasks {
 		if err := recordError(record, l.addTask(record)); err != nil {
--- a/core/state/log_suffix.go
+++ b/core/state/log_suffix.go
@@ -6,15 +6,15 @@
 	"sort"
 )
 
-// A log suffix keeps at least LogSuffixCommands commands or LogSuffixBytes of them,
-// whichever are fewer, and at most twice as many.
+// A log suffix is trimmed to LogSuffixCommands commands and LogSuffixBytes bytes, and only
+// once it has twice as many of either.
 const (
 	LogSuffixCommands = 8192
 	LogSuffixBytes    = 16 << 20
 )
 
-// LogSuffix is the last commands applied, encoded, so that a replica that is a little
-// behind can catch up without a snapshot transfer. It begins after a base position; its
+// LogSuffix holds the last commands applied, encoded, so that a replica that lags a little
+// can catch up without a snapshot transfer. It starts after its base position; the
 // commands follow without a gap.
 type LogSuffix struct {
 	base      LogPosition
@@ -23,13 +23,13 @@
 	bytes     int
 }
 
-// NewLogSuffix is an empty log suffix at a position.
+// NewLogSuffix returns an empty log suffix that starts after a position.
 func NewLogSuffix(base LogPosition) LogSuffix { return LogSuffix{base: base} }
 
-// Append takes the next command.
+// Append adds the next command.
 func (l *LogSuffix) Append(cmd EncodedCommand) { l.AppendEncoded(cmd.LogPosition, cmd.Encoded) }
 
-// AppendEncoded takes the next command, of which only the position was decoded.
+// AppendEncoded adds the next command, of which only the position has been decoded.
 func (l *LogSuffix) AppendEncoded(position LogPosition, encoded json.RawMessage) {
 	l.positions = append(l.positions, position)
 	l.encoded = append(l.encoded, encoded)
@@ -39,7 +39,7 @@
 	}
 }
 
-// trim drops the oldest commands until the rest is within both bounds.
+// trim drops the oldest commands until the others are within both bounds.
 func (l *LogSuffix) trim() {
 	drop := 0
 	for len(l.positions)-drop > LogSuffixCommands || l.bytes > LogSuffixBytes {
@@ -51,18 +51,18 @@
 	l.encoded = slices.Clone(l.encoded[drop:])
 }
 
-// Base is the position that the suffix begins after.
+// Base returns the position that the suffix starts after.
 func (l *LogSuffix) Base() LogPosition { return l.base }
 
-// offset is where the command with a log index would be. It is out of range if the
-// suffix does not reach there.
+// offset returns the offset of the command with a log index, and whether the suffix
+// holds that command.
 func (l *LogSuffix) offset(index uint64) (int, bool) {
 	i := int64(index) - int64(l.base.Index) - 1
 	return int(i), i >= 0 && i < int64(len(l.positions))
 }
 
-// offsetAfter gives the offset of the first command after a position, if the position
-// stands in this history and the suffix reaches back to it.
+// offsetAfter returns the offset of the first command after a position, and whether the
+// position is part of this history and the suffix reaches back to it.
 func (l *LogSuffix) offsetAfter(position LogPosition) (int, bool) {
 	if position == l.base {
 		return 0, true
@@ -74,14 +74,15 @@
 	return i + 1, true
 }
 
-// Contains says whether a position stands in this history, as far as the suffix reaches.
+// Contains reports whether a position is part of this history and the suffix reaches back
+// to it.
 func (l *LogSuffix) Contains(position LogPosition) bool {
 	_, ok := l.offsetAfter(position)
 	return ok
 }
 
-// CommandsAfter gives the encoded commands after a position, if the suffix reaches back
-// to it and the position stands in this history.
+// CommandsAfter returns the encoded commands after a position, and whether the position is
+// part of this history and the suffix reaches back to it.
 func (l *LogSuffix) CommandsAfter(position LogPosition) ([]json.RawMessage, bool) {
 	i, ok := l.offsetAfter(position)
 	if !ok {
@@ -90,17 +91,20 @@
 	return l.encoded[i:len(l.encoded):len(l.encoded)], true
 }
 
-// Window gives the first commands after a position, up to another one, bounded in
-// number and bytes but at least one; and the position that they end at.
-func (l *LogSuffix) Window(from, to LogPosition, entries, bytes int) ([]json.RawMessage, LogPosition, bool) {
+// Window returns the first commands after the position from and up to the position to,
+// together with the position of the last command returned. The commands are at most
+// maxCommands and at most maxBytes in total, but a first command larger than that is
+// returned nevertheless. Window reports false if either position is not in the suffix or
+// to comes before from.
+func (l *LogSuffix) Window(from, to LogPosition, maxCommands, maxBytes int) ([]json.RawMessage, LogPosition, bool) {
 	start, ok := l.offsetAfter(from)
 	limit, known := l.offsetAfter(to)
 	if !ok || !known || limit < start {
 		return nil, from, false
 	}
 	end, size := start, 0
-	for end < limit && end-start < entries {
-		if size += len(l.encoded[end]); size > bytes && end > start {
+	for end < limit && end-start < maxCommands {
+		if size += len(l.encoded[end]); size > maxBytes && end > start {
 			break
 		}
 		end++
@@ -111,23 +115,23 @@
 	return l.encoded[start:end:end], l.positions[end-1], true
 }
 
-// Within says whether no more than so many commands and bytes lie between two
-// positions of this history.
-func (l *LogSuffix) Within(from, to LogPosition, entries, bytes int) bool {
+// Within reports whether both positions are in the suffix, with no more than maxCommands
+// commands and maxBytes bytes between them.
+func (l *LogSuffix) Within(from, to LogPosition, maxCommands, maxBytes int) bool {
 	start, ok := l.offsetAfter(from)
 	end, known := l.offsetAfter(to)
-	if !ok || !known || end-start > entries {
+	if !ok || !known || end-start > maxCommands {
 		return false
 	}
 	size := 0
 	for i := start; i < end; i++ {
 		size += len(l.encoded[i])
 	}
-	return size <= bytes
+	return size <= maxBytes
 }
 
-// PositionOf gives the position of a log index in this history, if the suffix reaches
-// back to it.
+// PositionOf returns the position of a log index in this history, and whether the suffix
+// covers that index.
 func (l *LogSuffix) PositionOf(index uint64) (LogPosition, bool) {
 	if index == l.base.Index {
 		return l.base, true
@@ -139,8 +143,9 @@
 	return l.positions[i], true
 }
 
-// LastPossiblyCommon gives the last position of this history that another history,
-// which has come to a given position, can have in common with it.
+// LastPossiblyCommon returns the last position of this history that another history,
+// which ends at the given position, can share. It reports false if that would lie before
+// the suffix.
 func (l *LogSuffix) LastPossiblyCommon(position LogPosition) (LogPosition, bool) {
 	n := sort.Search(len(l.positions), func(i int) bool {
 		return l.positions[i].Epoch > position.Epoch || l.positions[i].Index > position.Index
@@ -151,7 +156,8 @@
 	return l.base, l.base.Epoch <= position.Epoch && l.base.Index <= position.Index
 }
 
-// TruncateAfter drops all commands after a position and says how many they were.
+// TruncateAfter drops all commands after a position and returns their number. It drops
+// none if the position is not in the suffix.
 func (l *LogSuffix) TruncateAfter(position LogPosition) int {
 	i, ok := l.offsetAfter(position)
 	if !ok {
--- a/core/state/log_suffix_test.go
+++ b/core/state/log_suffix_test.go
@@ -6,8 +6,8 @@
 	"sorrelloom/core/state"
 )
 
-// logSuffixOf is a log suffix after index 100 with commands of the given epochs; the first
-// is that of its base.
+// logSuffixOf returns a log suffix after index 100 with commands of the given epochs, and
+// their positions. The first epoch is that of the base.
 func logSuffixOf(epochs ...uint64) (suffix state.LogSuffix, positions []state.LogPosition) {
 	base := state.LogPosition{Epoch: epochs[0], Index: 100}
 	suffix = state.NewLogSuffix(base)
@@ -20,7 +20,8 @@
 	return suffix, positions
 }
 
-// TestLogSuffixBounded keeps a suffix within its bounds in number and bytes.
+// TestLogSuffixBounded appends commands beyond the bounds in number and bytes, and checks
+// that the suffix keeps enough of them and not too many.
 func TestLogSuffixBounded(t *testing.T) {
 	for _, row := range []struct{ size, count int }{{1, 5 * state.LogSuffixCommands}, {1 << 20, 100}} {
 		suffix := state.NewLogSuffix(state.LogPosition{})
@@ -31,18 +32,19 @@
 		}
 		kept, ok := suffix.CommandsAfter(suffix.Base())
 		if !ok || len(kept) > 2*state.LogSuffixCommands || len(kept)*row.size > 2*state.LogSuffixBytes {
-			t.Errorf("%d commands of %d bytes: %d are kept", row.count, row.size, len(kept))
+			t.Errorf("%d commands of %d bytes: %d are kept, too many", row.count, row.size, len(kept))
 		}
 		if len(kept) < state.LogSuffixCommands && len(kept)*row.size < state.LogSuffixBytes {
-			t.Errorf("%d commands of %d bytes: only %d are kept", row.count, row.size, len(kept))
+			t.Errorf("%d commands of %d bytes: %d are kept, too few", row.count, row.size, len(kept))
 		}
 		if rest, ok := suffix.CommandsAfter(newest); !ok || len(rest) > 0 {
-			t.Errorf("after the newest come %d", len(rest))
+			t.Errorf("%d commands follow the newest", len(rest))
 		}
 	}
 }
 
-// TestLogSuffixWindow gives commands within bounds in number and bytes.
+// TestLogSuffixWindow bounds a window in number and bytes, and rejects one that goes
+// backwards or starts in another history.
 func TestLogSuffixWindow(t *testing.T) {
 	suffix, at := logSuffixOf(1, 1, 1, 1, 1, 1)
 	one, _ := suffix.CommandsAfter(at[4])
@@ -62,14 +64,14 @@
 		}
 	}
 	if _, _, ok := suffix.Window(at[3], at[2], 10, 1000); ok {
-		t.Error("a window went backwards")
+		t.Error("a window that goes backwards is accepted")
 	}
 	if _, _, ok := suffix.Window(state.LogPosition{Epoch: 2, Index: 102}, at[5], 10, 1000); ok {
-		t.Error("a window began in another history")
+		t.Error("a window that starts in another history is accepted")
 	}
 }
 
-// TestLogSuffixLastPossiblyCommon finds where two histories may have parted.
+// TestLogSuffixLastPossiblyCommon finds the last position that two histories can share.
 func TestLogSuffixLastPossiblyCommon(t *testing.T) {
 	suffix, at := logSuffixOf(1, 1, 1, 3, 3)
 	for _, row := range []struct {
@@ -88,9 +90,9 @@
 		}
 	}
 	if got, ok := suffix.LastPossiblyCommon(state.LogPosition{Epoch: 1, Index: 99}); ok {
-		t.Errorf("before the suffix: %v", got)
+		t.Errorf("history that ends before the suffix: %v", got)
 	}
 	if dropped := suffix.TruncateAfter(at[2]); dropped != 2 || suffix.Contains(at[3]) || !suffix.Contains(at[2]) {
-		t.Errorf("cut %d", dropped)
+		t.Errorf("%d commands were dropped", dropped)
 	}
 }
--- a/core/state/store.go
+++ b/core/state/store.go
@@ -1,31 +1,32 @@
 // Package state is the replicated state machine of the cluster: jobs, tasks,
 // leases, workers, drained zones, leaderships and the configuration.
 //
-// It is pure and deterministic. A Store changes by Apply alone, which takes one
-// Command of the replicated log at a time, never reads a clock, draws no random
-// number and does no input or output. The same commands therefore give the same
-// state, the same results and the same encoded records on every replica, also
-// where replicas of neighbouring versions run side by side.
+// It is pure and deterministic. A Store changes only through Apply, which takes one
+// Command of the replicated log at a time, reads no clock, draws no random numbers
+// and does no I/O. The same commands therefore produce the same state, the same
+// results and the same encoded records on every replica, even while replicas of
+// adjacent versions run side by side.
 //
-// Every promise of the scheduler is checked here, in the one conditional write
-// that makes a change; whoever asks for a change may be slow, stale or wrong, and
-// is then rejected. The rules kept are:
+// Every guarantee of the scheduler is enforced here, in the one conditional write
+// that makes a change. The sender of a command may be slow, stale or wrong; its
+// command is then rejected. The invariants are:
 //
 //   - A task has at most one lease at a time, and a lease is returned only when
-//     its worker says that it does not run the attempt, or when the attempt must
+//     its worker reports that it does not run the attempt, or when the attempt must
 //     have ended: nothing runs twice (lease.go).
-//   - A task is leased only once all that it depends on is done and its due time
-//     has come (grant.go).
+//   - A task is leased only once all its dependencies are done and its due time has
+//     come (grant.go).
 //   - The leases on a worker never exceed the resources that it reported
-//     (resources.go), nor a class its share unless it may borrow (share.go).
-//   - A tenant never has more leased than its limit, unless the limit was lowered or an
+//     (resources.go), and those of a class never exceed its share unless it may
+//     borrow (share.go).
+//   - The leases of a tenant never exceed its limit, unless the limit was lowered or an
 //     attempt was adopted (tenant.go).
-//   - A gang is leased whole or not at all, and is stopped as a whole (gang.go).
+//   - A gang is leased as a whole or not at all, and is stopped as a whole (gang.go).
 //   - A task that succeeded never runs again; a failure is counted once (attempt.go).
-//   - Only the current leader of a role grants leases: its epoch fences out all
-//     earlier ones (leadership.go).
-//   - An operator's write that is repeated is answered as before and changes
-//     nothing (idempotency.go).
+//   - Only the current leader of a role grants leases: its epoch fences off all
+//     earlier leaders (leadership.go).
+//   - A repeated operator's write gets the original response and changes nothing
+//     (idempotency.go).
 package state
 
 import (
@@ -35,58 +36,59 @@
 	"sorrelloom/core/status"
 )
 
-// Store is the state. It is not safe for concurrent use; Snapshot gives a view that
+// Store holds the state. It is not safe for concurrent use; Snapshot returns a view that
 // another goroutine may read. The records that its methods return are shared and must not
-// be changed; they stay as they are when the state changes later.
+// be changed; later changes of the state replace records and leave returned ones as they
+// are.
 type Store struct {
 	position LogPosition
-	// now is state time: the latest time that a command was stamped with.
+	// now is state time: the latest timestamp of any command applied.
 	now            time.Duration
 	nextTaskNumber uint64
 	config         config.Config
 	policies       config.CompiledPolicies
-	// tenantsByKey gives the tenant of each key's digest.
+	// tenantsByKey maps the digest of an API key to its tenant.
 	tenantsByKey map[string]string
-	// formerLimits are the limits of tenants that a configuration has left out while jobs
-	// of theirs had not ended.
+	// formerLimits holds the limits of tenants that were removed from the configuration
+	// before all their jobs had ended.
 	formerLimits map[string]Resources
-	// formerClasses are the classes, by service and name, that a configuration has left out
-	// while jobs of theirs had not ended.
+	// formerClasses holds, by service and name, the classes that were removed from the
+	// configuration before all their jobs had ended.
 	formerClasses map[string]map[string]config.Class
 	jobs          map[string]*Job
 	workers       map[string]*Worker
 	drainedZones  map[string]bool
-	// zoneOrders gives the log index of the last order to drain or refill each zone.
+	// zoneOrders maps a zone to the log index of the last order to drain or refill it.
 	zoneOrders  map[string]uint64
 	leaderships map[string]Leadership
 	schedulers  map[string]Scheduler
-	// requests and configRequests are the operators' writes by idempotency key.
+	// requests and configRequests hold operators' writes by idempotency key.
 	requests       boundedMap[Request]
 	configRequests boundedMap[Request]
 	pastJobs       boundedMap[PastJob]
-	// forgottenUntil is when the last of the jobs ended of which nothing is known any more.
+	// forgottenUntil is the latest end of a job whose PastJob has been dropped as well.
 	forgottenUntil time.Duration
 
 	indexes
 	cache queryCache
-	// entries follow the records of the workers and their usage.
+	// entries mirrors the records of the workers and their usage.
 	entries workerEntries
-	// serviceLoads are counted when they are asked for; a missing one is counted anew.
+	// serviceLoads caches the load of each service; a missing entry is computed on demand.
 	serviceLoads map[string]*cachedServiceLoad
 
-	// clonedJobs are the jobs whose task slice the current command has copied.
+	// clonedJobs holds the jobs whose task slice the current command has already copied.
 	clonedJobs map[string]bool
 	changes    []Change
 	audit      auditTrail
 }
 
-// Change names a task or a worker that the last commands touched. Task is -1 if
-// it is the job as a whole.
+// Change names a task or a worker that a command changed. Task is -1 if the change
+// concerns the job as a whole.
 type Change struct {
 	Job    string
 	Task   int
 	Worker string
-	// All says that anything may have changed.
+	// All means that anything may have changed; no other field is then set.
 	All bool
 }
 
@@ -111,35 +113,35 @@
 	return s
 }
 
-// Position is that of the last command applied.
+// Position returns the position of the last command applied.
 func (s *Store) Position() LogPosition { return s.position }
 
-// Now is state time: monotonic, counted from the bootstrap of the cluster and
-// carried on by each primary.
+// Now returns state time, which is monotonic, starts at the bootstrap of the cluster and
+// is continued by each new primary.
 func (s *Store) Now() time.Duration { return s.now }
 
-// Config is the configuration in force.
+// Config returns the configuration in force.
 func (s *Store) Config() config.Config { return s.config }
 
-// setConfig puts a configuration in force, with what is derived from it.
+// setConfig puts a configuration in force and recomputes the values derived from it.
 func (s *Store) setConfig(c config.Config) {
 	s.config, s.policies, s.tenantsByKey = c, c.Compile(), c.TenantsByKey()
 }
 
-// Policies are the compiled policies of the configuration in force.
+// Policies returns the compiled policies of the configuration in force.
 func (s *Store) Policies() config.CompiledPolicies { return s.policies }
 
-// TakeChanges hands over what changed since it was last called.
+// TakeChanges returns the changes since its last call and clears the list.
 func (s *Store) TakeChanges() []Change {
 	changes := s.changes
 	s.changes = nil
 	return changes
 }
 
-// Apply makes the one change that a command asks for, or rejects it with the state left
-// as it was but for its position and time. Two rejections leave more behind, always on
-// the safe side: preempt and heartbeat say what. Apply never looks at a clock: cmd.Time is
-// state time, which never runs backwards.
+// Apply carries out a command or rejects it. A rejected command advances only the
+// position and the time of the state, with two exceptions, both safe: preempt and
+// heartbeat document what else their rejections may change. Apply reads no clock: state
+// time advances to cmd.Time and never goes back.
 func (s *Store) Apply(cmd Command) Result {
 	s.position = cmd.LogPosition
 	s.clonedJobs = map[string]bool{}
--- a/core/state/tick.go
+++ b/core/state/tick.go
@@ -15,13 +15,13 @@
 	apply func()
 }
 
-// TickDue says whether a tick at the given time would change anything, and may be sent by
+// TickDue reports whether a tick at the given time would change anything, and may be sent by
 // a primary that has served without a pause since the time servingSince.
 //
 // A tick that earlier releases would carry out in another way is held back: they return
 // lapsed leases although no worker could be heard. Replicas of both then stay the same.
 func (s *Store) TickDue(now, servingSince time.Duration) bool {
-	if !s.silenceCounts(now, servingSince) && s.anyLeaseLapsed(now) {
+	if !s.silenceIsConclusive(now, servingSince) && s.anyLeaseLapsed(now) {
 		return false
 	}
 	return len(s.dueActions(now, servingSince)) > 0
@@ -38,7 +38,7 @@
 	return Result{Code: status.OK}
 }
 
-// dueActions gives what is due at a time, in the order in which it is carried out.
+// dueActions returns what is due at a time, in the order in which it is carried out.
 func (s *Store) dueActions(now, servingSince time.Duration) []timedAction {
 	var actions []timedAction
 	actions = s.appendDeadlines(actions, now)
@@ -61,7 +61,7 @@
 	return actions
 }
 
-// dueKeys gives the keys of what is due, in order. It is asked often and mostly finds none,
+// dueKeys returns the keys of what is due, in order. It is asked often and mostly finds none,
 // so only these are sorted.
 func dueKeys[V any](values map[string]V, isDue func(id string, value V) bool) []string {
 	var keys []string
@@ -93,7 +93,7 @@
 
 // appendDueLeases returns the leases that have lapsed and stops those that are to be.
 func (s *Store) appendDueLeases(actions []timedAction, now, servingSince time.Duration) []timedAction {
-	silenceCounts := s.silenceCounts(now, servingSince)
+	silenceCounts := s.silenceIsConclusive(now, servingSince)
 	for _, ref := range s.dueLeases(now) {
 		if s.leaseLapsed(now, ref) {
 			if !silenceCounts {
