--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -48,7 +48,7 @@
 	// granted.
 	HeartbeatNumber uint64        `json:"beat"`
 	GrantedAt       time.Duration `json:"grantedAt"`
-	// RunLimit is how long the worker was told that the attempt may run.
+	// RunLimit is how long the attempt may run, as sent to the worker in the start order.
 	RunLimit time.Duration `json:"limit"`
 	// StartedAt is when the worker first listed the attempt.
 	StartedAt time.Duration `json:"startedAt,omitempty"`
--- a/core/state/resources_test.go
+++ b/core/state/resources_test.go
@@ -58,7 +58,8 @@
 	if c := grant("0.0.2"); c != status.InsufficientResources {
 		t.Errorf("a grant of 40 slots while 80 of 100 are leased: %v", c)
 	}
-	// The first ends, but an attempt without a lease runs beside the second.
+	// The first attempt ends, and the worker runs one without a lease in addition to the
+	// second.
 	do(cancelJob("none"))
 	report(attempt("0.0.1", 1), attempt("0.0.2", 9))
 	if free := store.FreeResources("w"); free.Slots != 20 {
--- a/core/state/result.go
+++ b/core/state/result.go
@@ -21,7 +21,7 @@
 	// command has put in force.
 	ConfigVersion uint64        `json:"sequence,omitempty"`
 	RetryAfter    time.Duration `json:"retryAfter,omitempty"`
-	// Heartbeat answers a worker's heartbeat.
+	// Heartbeat is the reply to a worker's heartbeat.
 	Heartbeat  HeartbeatReply     `json:"orders,omitzero"`
 	Job        Job                `json:"job,omitzero"`
 	Violations []config.Violation `json:"faults,omitempty"`
--- a/core/state/worker.go
+++ b/core/state/worker.go
@@ -21,8 +21,11 @@
 	// Drained means that an operator has ordered that the worker gets no new leases.
 	Drained bool `json:"drained,omitempty"`
 	// ConfirmedDead means that an operator has confirmed that the worker will not come back.
-	ConfirmedDead  bool          `json:"gone,omitempty"`
-	LastSeenAt     time.Duration `json:"seenAt"`
+	ConfirmedDead bool `json:"gone,omitempty"`
+	// LastSeenAt is when the worker's last heartbeat was received, in state time.
+	LastSeenAt time.Duration `json:"seenAt"`
+	// LeaseExpiresAt is the end of the worker's own lease: until then it may run its attempts
+	// without another heartbeat.
 	LeaseExpiresAt time.Duration `json:"cutoffAt"`
 }
 
