--- a/core/control/benchmark_mixed_test.go
+++ b/core/control/benchmark_mixed_test.go
@@ -21,7 +21,8 @@
 	"q": 640 * time.Millisecond, "d": 1800 * time.Millisecond, "c": 6200 * time.Millisecond,
 }
 
-// mixedRack returns the rack of a worker, given by its number.
+// mixedRack returns the rack of the worker with the given number. Jobs prefer the rack of some
+// worker as that of their data.
 func mixedRack(worker int) string { return fmt.Sprintf("r%d", worker/mixedWorkersPerRack%mixedRacks) }
 
 // mixedJob returns the job with the given number of a mix: many quick jobs, of which some are
--- a/core/control/control.go
+++ b/core/control/control.go
@@ -111,8 +111,8 @@
 	return out
 }
 
-// stepServing passes the queued heartbeats and the input to the scheduler, then steps it until
-// it has handled all results of its commands.
+// stepServing passes the queued heartbeats, and the input if it is a heartbeat, to the
+// scheduler. It then steps the scheduler until all results of its commands are handled.
 func (c *Control) stepServing(now time.Duration, in machine.Input, isHeartbeat bool, out *machine.Output) {
 	timer := machine.Input{Backlog: in.Backlog}
 	for _, message := range c.takeQueuedHeartbeats() {
--- a/core/scheduler/admission.go
+++ b/core/scheduler/admission.go
@@ -22,8 +22,8 @@
 	maxReportInterval = 200 * time.Millisecond
 )
 
-// admission limits the heartbeats with changes per tick. Each deferred heartbeat is assigned
-// to a later tick, spread so that it is normally deferred only once.
+// admission limits the heartbeats with changes per tick. Deferred heartbeats are spread over
+// later ticks, so that each is deferred only once.
 type admission struct {
 	tickEnd  time.Duration
 	admitted int
--- a/core/scheduler/heartbeat.go
+++ b/core/scheduler/heartbeat.go
@@ -44,8 +44,9 @@
 	awaitsRenewal bool
 }
 
-// handleHeartbeat rejects a heartbeat that is stale or meant for another scheduler, and
-// submits or admits any other.
+// handleHeartbeat answers a heartbeat at once if it is stale, meant for another scheduler, or
+// unconfirmed and from an unknown worker. Any other heartbeat replaces the pending one of its
+// worker and is submitted as a command or, on the primary's own state, given to admitHeartbeat.
 func (s *Scheduler) handleHeartbeat(
 	now time.Duration, from string, request wire.HeartbeatRequest, out *machine.Output,
 ) {
@@ -55,7 +56,7 @@
 		s.takeLeadership(now, heartbeat.Zone, out)
 	}
 	if !s.leads(heartbeat.Zone) || s.stopping {
-		s.recordUnledZone(now, heartbeat.Zone)
+		s.recordLeaderlessZone(now, heartbeat.Zone)
 		s.sendResult(replyTo, state.Result{
 			Code: status.StaleEpoch, Reason: "another scheduler leads this zone", RetryAfter: redirectDelay,
 		}, out)
@@ -74,8 +75,8 @@
 		s.replaceHeartbeat(&earlier, out)
 	}
 	if !s.access.IsLocal() {
-		// The log position of the command is not known yet. Without LastReply, the state uses
-		// the heartbeat's number to decide which start orders the worker has received.
+		// The log position of the command is not known yet, so that the state must use the
+		// heartbeat's number instead of LastReply to decide which starts the worker received.
 		heartbeat.AwaitingGang, heartbeat.LastReply = nil, 0
 	}
 	pending := pendingHeartbeat{
@@ -103,12 +104,12 @@
 	s.reply(earlier, state.Result{Code: status.StaleHeartbeat, Reason: "a later heartbeat replaced this one"}, out)
 }
 
-// recordUnledZone registers the scheduler again immediately, with a vote on the leadership
+// recordLeaderlessZone registers the scheduler again immediately, with a vote on the leadership
 // of a zone that has no leader.
-func (s *Scheduler) recordUnledZone(now time.Duration, zone string) {
+func (s *Scheduler) recordLeaderlessZone(now time.Duration, zone string) {
 	leader := s.access.State().Leadership(LeadershipOf(zone)).Leader
-	if leader == "" && !s.stopping && !s.unledZones[zone] {
-		s.unledZones[zone], s.nextRegistration = true, now
+	if leader == "" && !s.stopping && !s.leaderlessZones[zone] {
+		s.leaderlessZones[zone], s.nextRegistration = true, now
 	}
 }
 
--- a/core/scheduler/leadership.go
+++ b/core/scheduler/leadership.go
@@ -36,7 +36,7 @@
 	for _, entry := range s.access.State().WorkerEntries() {
 		set[entry.Record().Zone] = true
 	}
-	for zone := range s.unledZones {
+	for zone := range s.leaderlessZones {
 		set[zone] = true
 	}
 	zones := make([]string, 0, len(set))
@@ -69,7 +69,7 @@
 			registered = true
 		}
 	}
-	s.unledZones = map[string]bool{}
+	s.leaderlessZones = map[string]bool{}
 	if !registered {
 		s.submitRegistration(now, s.registration(), registrationInterval, out)
 	}
--- a/core/scheduler/scan.go
+++ b/core/scheduler/scan.go
@@ -112,8 +112,8 @@
 	return now >= t.nextStart && (backlog == 0 || !t.lastUnmeasured && now >= t.yieldUntil)
 }
 
-// emptyPull records the circumstances in which a worker found nothing to pull. Until they
-// change, another pull is pointless; it is repeated at until in any case.
+// emptyPull records that a worker found nothing to pull. The worker pulls again only after its
+// queue or its free resources have changed, or at the time until.
 type emptyPull struct {
 	queueVersion uint64
 	free         state.Resources
--- a/core/scheduler/scheduler.go
+++ b/core/scheduler/scheduler.go
@@ -41,7 +41,8 @@
 	Phases *machine.PhaseMeter
 }
 
-// Scheduler is a scheduler as a machine.Machine. It is not safe for concurrent use.
+// Scheduler dispatches tasks in the zones that it leads. It is a machine.Machine and not safe
+// for concurrent use.
 type Scheduler struct {
 	config     Config
 	access     StateAccess
@@ -71,14 +72,14 @@
 	stopsSentAt    map[state.Attempt]time.Duration
 	scans          scanSchedule
 	stalled        stalledTaskCheck
-	waits          longWaitCheck
+	longWaits      longWaitCheck
 	emptyPulls     map[string]emptyPull
 	takeover       takeover
 	rebuild        rebuildPace
 
 	nextRegistration time.Duration
-	// unledZones holds the zones without a leader from which a heartbeat was received.
-	unledZones map[string]bool
+	// leaderlessZones holds the zones without a leader from which a heartbeat was received.
+	leaderlessZones map[string]bool
 
 	nextTimer    time.Duration
 	stopping     bool
@@ -114,9 +115,9 @@
 	s.overShareUntil = map[state.ClassKey]uint64{}
 	s.atLimitUntil = map[string]uint64{}
 	s.tenantLimits = tenantLimitLog{loggedAt: map[string]time.Duration{}}
-	s.waits = longWaitCheck{loggedAt: map[classReason]time.Duration{}}
+	s.longWaits = longWaitCheck{loggedAt: map[classReason]time.Duration{}}
 	s.stopsSentAt = map[state.Attempt]time.Duration{}
-	s.unledZones = map[string]bool{}
+	s.leaderlessZones = map[string]bool{}
 	s.emptyPulls = map[string]emptyPull{}
 	s.scans.changedWorkers = map[string]bool{}
 	s.scans.nextFull = 0
--- a/core/scheduler/waiting.go
+++ b/core/scheduler/waiting.go
@@ -34,7 +34,7 @@
 	dispatch.Wait
 }
 
-// classReason identifies the log events that waitLogInterval limits.
+// classReason is a reason for waiting in a class. It is the key by which log events are limited.
 type classReason struct {
 	class  state.ClassKey
 	reason dispatch.WaitReason
@@ -50,11 +50,11 @@
 
 // LongWaits returns the result of the last check: for each class with tasks that have waited
 // for at least longTaskWait, the one that has waited longest, and why.
-func (s *Scheduler) LongWaits() []ClassWait { return s.waits.found }
+func (s *Scheduler) LongWaits() []ClassWait { return s.longWaits.found }
 
 // explainLongWaits checks for tasks that have waited long and logs why they have not started.
 func (s *Scheduler) explainLongWaits(now time.Duration, out *machine.Output) {
-	check := &s.waits
+	check := &s.longWaits
 	if now < check.nextCheck || !s.access.IsLocal() {
 		return
 	}
@@ -73,10 +73,10 @@
 // logLongWait logs why the tasks of a class wait, at most once per waitLogInterval.
 func (s *Scheduler) logLongWait(now time.Duration, found *ClassWait, out *machine.Output) {
 	key := classReason{found.ClassKey, found.Reason}
-	if last, logged := s.waits.loggedAt[key]; logged && now-last < waitLogInterval {
+	if last, logged := s.longWaits.loggedAt[key]; logged && now-last < waitLogInterval {
 		return
 	}
-	s.waits.loggedAt[key] = now
+	s.longWaits.loggedAt[key] = now
 	store := s.access.State()
 	log := out.Warn
 	if expectedReasons[found.Reason] {
@@ -107,8 +107,8 @@
 	for _, reason := range allWaitReasons {
 		tasks[reason] = 0
 	}
-	for i := range s.waits.found {
-		tasks[s.waits.found[i].Reason] += s.waits.found[i].Tasks
+	for i := range s.longWaits.found {
+		tasks[s.longWaits.found[i].Reason] += s.longWaits.found[i].Tasks
 	}
 	return tasks
 }
