--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	trust     trustTracker
 	runTimes  runTimes
 
-	// running holds the leases in force, with which the end of their attempts is evaluated.
+	// running holds the attempts whose leases are in force, as they were when they started.
 	running map[TaskRef]runningAttempt
 	// completed counts the tasks that each worker has completed.
 	completed map[string]int
--- a/core/dispatch/gang.go
+++ b/core/dispatch/gang.go
@@ -10,8 +10,8 @@
 // search for another worker's pull would find none either.
 const gangRetryInterval = 10 * time.Millisecond
 
-// gangSlots returns the slots of all members of a task's gang that are not complete, or those
-// of the task itself if it is in no gang.
+// gangSlots returns the number of slots of a task's gang, or of the task itself if it is in no
+// gang. In a job without steps it leaves out complete members.
 func gangSlots(job *state.Job, i int) int {
 	task := &job.Spec.Tasks[i]
 	if task.Gang == "" {
--- a/core/dispatch/gang_search.go
+++ b/core/dispatch/gang_search.go
@@ -196,7 +196,8 @@
 	return s.store.FreeResources(worker.ID()).Sub(s.proposed[worker.ID()])
 }
 
-// choosePlace returns the index of the best place for a member of a gang that is not uniform, or -1.
+// choosePlace returns the index of the best place for a member of a gang that is not uniform,
+// or -1.
 func (s *gangSearch) choosePlace(member int, rack string) int {
 	store, spec := s.store, &s.job.Spec.Tasks[member]
 	limited := s.job.Spec.Tasks[s.members[0]].MaxPerWorker > 0
--- a/core/dispatch/hold.go
+++ b/core/dispatch/hold.go
@@ -8,8 +8,8 @@
 
 // Some rules hold a task back from a worker that has resources for it: another worker would run
 // it better, or the resources are meant for an older gang. Each hold is bounded. While under
-// half of a service is in use, none lasts as long as the time after which state.StalledTasks
-// considers a task stalled.
+// half of a service is in use, no hold continues for as long as the time after which
+// state.StalledTasks considers a task stalled.
 
 const (
 	// maxIdleHold bounds how long work is held back without a pause while under half of what it
--- a/core/dispatch/overlap.go
+++ b/core/dispatch/overlap.go
@@ -9,8 +9,8 @@
 // Two gangs can hold back a tenant's younger work in a service: one of the tenant that waits
 // for the tenant's limit, and one that waits for workers. Each has a window that bounds its own
 // hold, but their pauses need not overlap. While both wait, the work that they hold back
-// therefore has a window of its own: it lasts until neither gang holds, and in its pause
-// neither does.
+// therefore has a window of its own, which stays open until neither gang holds it back, and in
+// whose pauses neither does.
 
 // minSharedPause is how long neither gang must hold work back for that to count as a pause.
 const minSharedPause = holdPause / 2
--- a/core/dispatch/queues.go
+++ b/core/dispatch/queues.go
@@ -28,8 +28,8 @@
 	// longRunning is set for tasks that run until their job is cancelled.
 	longRunning   bool
 	preferredRack string
-	// spreadKey is set for tasks with a limit of how many of a step a worker may run at once.
-	// It puts the tasks of different steps into different groups.
+	// spreadKey is set for tasks of a step that limits how many of its tasks a worker may run
+	// at once. It puts the tasks of different steps into different groups.
 	spreadKey string
 	// quick and priority are properties of the class.
 	quick    bool
@@ -52,8 +52,8 @@
 type queuedTask struct {
 	ref    TaskRef
 	number uint64
-	// anyRack is set if no worker in the rack of the task's data fits it, so that it may run in
-	// any rack at once.
+	// anyRack is set if the task need not wait for the rack of its data, since no worker there
+	// fits it that is not deprioritized.
 	anyRack bool
 }
 
--- a/core/dispatch/task_changes.go
+++ b/core/dispatch/task_changes.go
@@ -111,8 +111,8 @@
 	d.inputs.forgetJob(job)
 }
 
-// enqueue adds a task to a worker's queue. anyRack is set if no worker near the task's data
-// fits it.
+// enqueue adds a task to a worker's queue. anyRack is set if the task need not wait for the
+// rack of its data (queuedTask.anyRack).
 func (d *Dispatcher) enqueue(store *state.Store, job *state.Job, ref TaskRef, worker string, anyRack bool) {
 	task := job.Tasks[ref.Index]
 	d.changedWorkers[worker] = true
--- a/core/dispatch/unmet_gang_needs.go
+++ b/core/dispatch/unmet_gang_needs.go
@@ -38,8 +38,8 @@
 // add records an unmet need, and drops the expired ones and those that are at least as large,
 // since the new one implies them. It drops the new one if maxUnmetGangNeeds others remain.
 func (m *unmetGangNeeds) add(need gangNeed, now time.Duration) {
-	unmet := slices.DeleteFunc(*m, func(miss unmetGangNeed) bool {
-		return now >= miss.at+gangRetryInterval || miss.need.atLeast(&need)
+	unmet := slices.DeleteFunc(*m, func(other unmetGangNeed) bool {
+		return now >= other.at+gangRetryInterval || other.need.atLeast(&need)
 	})
 	if len(unmet) < maxUnmetGangNeeds {
 		unmet = append(unmet, unmetGangNeed{need, now})
--- a/core/dispatch/victims.go
+++ b/core/dispatch/victims.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// checkpointedLoss is the maximum work per slot that a lease loses whose task saves its
-	// progress.
+	// checkpointedLoss is the maximum work per slot that is lost with a lease whose task saves
+	// its progress.
 	checkpointedLoss = time.Second
-	// longRunningLoss is what stopping a task counts that runs until it is cancelled. No work
-	// is lost, but none is done until the task runs again.
+	// longRunningLoss is the cost per slot of stopping a task that runs until its job is
+	// cancelled: no work is lost, but none is done until the task runs again.
 	longRunningLoss = 5 * time.Second
 	// roundingTolerance keeps a lower bound of costs below sums that are rounded differently.
 	roundingTolerance = 1 - 1e-9
