--- a/core/agent/reply.go
+++ b/core/agent/reply.go
@@ -69,7 +69,7 @@
 	result, latest := reply.Result, &r.inFlight.heartbeat
 	result.Heartbeat.Starts = slices.DeleteFunc(slices.Clone(result.Heartbeat.Starts), func(start state.StartOrder) bool {
 		lease := state.Lease{HeartbeatNumber: start.GrantedOn}
-		return start.GrantedOn == 0 || latest.HasSeenStart(&lease)
+		return start.GrantedOn == 0 || latest.HasReceivedStart(&lease)
 	})
 	r.waitSince = r.inFlight.sentAt
 	a.takeOrders(now, w, sent, result, out)
--- a/core/scheduler/heartbeat.go
+++ b/core/scheduler/heartbeat.go
@@ -66,7 +66,7 @@
 		s.sendResult(replyTo, result, out)
 		return
 	}
-	if heartbeat.Unconfirmed && !s.access.State().Knows(&heartbeat) {
+	if heartbeat.Unconfirmed && !s.access.State().KnowsWorker(&heartbeat) {
 		// The worker may have been replaced in the meantime. Its next report registers it.
 		s.sendResult(replyTo, state.Result{Code: status.OK}, out)
 		return
--- a/core/scheduler/orders.go
+++ b/core/scheduler/orders.go
@@ -60,7 +60,7 @@
 		switch {
 		case stopping && runs && !slices.Contains(orders.Stops, pending.Attempt):
 			orders.Stops = append(orders.Stops, pending.Attempt)
-		case !stopping && lease.StartedAt == 0 && !runs && !heartbeat.HasSeenStart(lease):
+		case !stopping && lease.StartedAt == 0 && !runs && !heartbeat.HasReceivedStart(lease):
 			if start, inTime := s.startOrder(now, heartbeat, pending); inTime {
 				orders.Starts = append(orders.Starts, start)
 			}
--- a/core/state/heartbeat.go
+++ b/core/state/heartbeat.go
@@ -320,12 +320,12 @@
 // showsNotRunningDespiteOrder is showsNotRunning for a worker that is also known to have
 // received the start order, unless the attempt had started.
 func (hb *Heartbeat) showsNotRunningDespiteOrder(lease *Lease) bool {
-	return hb.showsNotRunning(lease) && (lease.StartedAt > 0 || hb.HasSeenStart(lease))
+	return hb.showsNotRunning(lease) && (lease.StartedAt > 0 || hb.HasReceivedStart(lease))
 }
 
-// HasSeenStart reports whether the worker of a heartbeat has received the start order of a
+// HasReceivedStart reports whether the worker of a heartbeat has received the start order of a
 // lease, judged by LastReply or, where that is unknown, by the number of the heartbeat.
-func (hb *Heartbeat) HasSeenStart(lease *Lease) bool {
+func (hb *Heartbeat) HasReceivedStart(lease *Lease) bool {
 	if hb.LastReply > 0 {
 		return hb.LastReply >= lease.HeartbeatNumber+StartReplies
 	}
--- a/core/state/heartbeat_delta.go
+++ b/core/state/heartbeat_delta.go
@@ -38,9 +38,9 @@
 	return reduced, changes
 }
 
-// Knows reports whether the worker of a heartbeat is known in the same incarnation and with the
+// KnowsWorker reports whether the worker of a heartbeat is known in the same incarnation and with the
 // same zone, rack, service, address and labels, and was not confirmed dead.
-func (s *Store) Knows(hb *Heartbeat) bool {
+func (s *Store) KnowsWorker(hb *Heartbeat) bool {
 	worker, known := s.workers[hb.Worker]
 	return known && !worker.ConfirmedDead && sameIdentity(&worker.Heartbeat, hb)
 }
