--- a/core/state/indexes.go
+++ b/core/state/indexes.go
@@ -113,9 +113,9 @@
 	// own free resources do not account for (not started, or of an earlier incarnation), and
 	// stopping of those that are being stopped.
 	used, unreported, stopping Resources
-	// lasting is the sum of the resources of the leases of long-running tasks that are not
+	// longRunning is the sum of the resources of the leases of long-running tasks that are not
 	// being stopped.
-	lasting Resources
+	longRunning Resources
 	// stopCount counts the leases that are being stopped, unstartedCount the ones that are
 	// neither started nor being stopped, and orphanCount those of an earlier incarnation.
 	stopCount, unstartedCount, orphanCount int
@@ -164,7 +164,7 @@
 	} else {
 		u.adjustPreemptible(job.Spec.classKey(), lease, resources, add)
 		if job.Spec.Tasks[i].LongRunning {
-			u.lasting = add(u.lasting, resources)
+			u.longRunning = add(u.longRunning, resources)
 		}
 		if lease.StartedAt == 0 {
 			u.unstartedCount += delta
--- a/core/state/tenant.go
+++ b/core/state/tenant.go
@@ -56,7 +56,7 @@
 func (s *Store) LastingUsage() *quota.Usage {
 	lasting := quota.NewUsage()
 	for _, usage := range s.usage {
-		if usage.lasting == (Resources{}) {
+		if usage.longRunning == (Resources{}) {
 			continue
 		}
 		for i := range usage.leases {
