--- a/core/dispatch/hold.go
+++ b/core/dispatch/hold.go
@@ -95,7 +95,7 @@
 func (d *Dispatcher) underHalfUsed(store *state.Store, service string) bool {
 	usage, known := d.usages[service]
 	if !known || store.Now() >= usage.checkedAt+usageTTL {
-		usage = serviceUsage{store.Now(), store.UnderHalfUsed(service)}
+		usage = serviceUsage{store.Now(), store.AtMostHalfUsed(service)}
 		d.usages[service] = usage
 	}
 	return usage.underHalf
--- a/core/state/stalled.go
+++ b/core/state/stalled.go
@@ -43,7 +43,7 @@
 		}
 		service := job.Spec.Service
 		if _, known := underHalfUsed[service]; !known {
-			underHalfUsed[service] = s.UnderHalfUsed(service)
+			underHalfUsed[service] = s.AtMostHalfUsed(service)
 		}
 		if underHalfUsed[service] {
 			stalled = s.appendStalled(stalled, job)
@@ -103,9 +103,9 @@
 	return members
 }
 
-// UnderHalfUsed reports whether the leases on a service's live workers that are not leaving
+// AtMostHalfUsed reports whether the leases on a service's live workers that are not leaving
 // take at most half of each resource of these workers.
-func (s *Store) UnderHalfUsed(service string) bool {
+func (s *Store) AtMostHalfUsed(service string) bool {
 	var capacity, used Resources
 	for id, worker := range s.workers {
 		if worker.Service == service && s.Live(worker) && !worker.Leaving {
