--- a/core/config/config.go
+++ b/core/config/config.go
@@ -88,8 +88,8 @@
 	LeaseDuration Duration `json:"lease"`
 	// ExpiryMargin is added to the expiry of a lease before its attempts count as ended.
 	ExpiryMargin Duration `json:"margin"`
-	// StartTimeout is how long the members of a gang may take to start.
-	StartTimeout Duration `json:"startBy"`
+	// GangStartTimeout is how long the members of a gang may take to start.
+	GangStartTimeout Duration `json:"startBy"`
 	// HeartbeatTimeout is the time after its last heartbeat during which a worker still gets
 	// work. A scheduler loses its leadership after half of this time without a heartbeat.
 	HeartbeatTimeout Duration `json:"silent"`
@@ -118,7 +118,7 @@
 		Limits: Limits{
 			LeaseDuration:     Duration{6 * time.Second},
 			ExpiryMargin:      Duration{time.Second},
-			StartTimeout:      Duration{4 * time.Second},
+			GangStartTimeout:  Duration{4 * time.Second},
 			HeartbeatTimeout:  Duration{3 * time.Second},
 			FinishedRetention: Duration{10 * time.Minute},
 			PastJobRetention:  Duration{6 * time.Hour},
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -114,7 +114,7 @@
 }
 
 func (c Config) limitViolations() []Violation {
-	if c.Limits.StartTimeout.Duration < c.Limits.LeaseDuration.Duration {
+	if c.Limits.GangStartTimeout.Duration < c.Limits.LeaseDuration.Duration {
 		return nil
 	}
 	return []Violation{{status.InvalidConfig, "/limits/startBy", "must be shorter than the lease"}}
--- a/core/scheduler/orders.go
+++ b/core/scheduler/orders.go
@@ -85,7 +85,7 @@
 	if start.Gang == "" {
 		return start, true
 	}
-	startTimeout := s.access.State().Config().Limits.StartTimeout.Duration
+	startTimeout := s.access.State().Config().Limits.GangStartTimeout.Duration
 	start.GangWait = pending.Lease.GrantedAt + startTimeout - s.access.Time(now)
 	return start, start.GangWait > 0
 }
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -231,7 +231,7 @@
 	case lease.StartedAt > 0 && !limits.KilledAtLeaseExpiry &&
 		s.workerRecord(lease.Worker).LastSeenAt > lease.StartedAt+lease.RunLimit:
 		return stopReasonRunLimit
-	case lease.StartedAt == 0 && s.specAt(ref).Gang != "" && now > lease.GrantedAt+limits.StartTimeout.Duration:
+	case lease.StartedAt == 0 && s.specAt(ref).Gang != "" && now > lease.GrantedAt+limits.GangStartTimeout.Duration:
 		return stopReasonGang
 	}
 	return ""
--- a/tool/experiment/control.go
+++ b/tool/experiment/control.go
@@ -78,7 +78,7 @@
 	result.Limits.LeaseDuration = config.Duration{Duration: lease}
 	result.Limits.ExpiryMargin = config.Duration{Duration: lease*3/100 + 300*time.Millisecond}
 	startTimeout := min(seconds(deployment.GangWaitS), lease) - 200*time.Millisecond
-	result.Limits.StartTimeout = config.Duration{Duration: startTimeout}
+	result.Limits.GangStartTimeout = config.Duration{Duration: startTimeout}
 	result.Limits.HeartbeatTimeout = config.Duration{Duration: 1500 * time.Millisecond}
 	result.Limits.MaxLostAttempts = 1_000_000
 	result.Limits.RunLimit = config.Duration{Duration: 24 * time.Hour}
--- a/tool/sim/control_config.go
+++ b/tool/sim/control_config.go
@@ -48,7 +48,7 @@
 	limits := &c.Limits
 	limits.KilledAtLeaseExpiry = true
 	limits.LeaseDuration, limits.ExpiryMargin = millis(6000), millis(480)
-	limits.StartTimeout, limits.HeartbeatTimeout = millis(3800), millis(1500)
+	limits.GangStartTimeout, limits.HeartbeatTimeout = millis(3800), millis(1500)
 	limits.RunLimit = millis((24 * time.Hour).Milliseconds())
 	limits.MaxLostAttempts, limits.MaxTasks = 1_000_000, 10_000
 	return machine.MustJSON(c)
