--- a/core/config/config.go
+++ b/core/config/config.go
@@ -48,8 +48,8 @@
 	// Quick gives the tasks of the class precedence over those of all classes without it,
 	// regardless of the order policy.
 	Quick bool `json:"quick,omitempty"`
-	// QueueLimit limits the unfinished tasks of the class; 0 means no limit.
-	QueueLimit int `json:"inboxMax,omitempty"`
+	// MaxUnfinishedTasks limits the unfinished tasks of the class; 0 means no limit.
+	MaxUnfinishedTasks int `json:"inboxMax,omitempty"`
 	// RunLimit is how long an attempt may run; 0 means Limits.RunLimit.
 	RunLimit Duration `json:"runLimit,omitzero"`
 	// LostWorkerPolicy is RestartOnLostWorker or HoldOnLostWorker; empty means the latter.
--- a/core/state/validate.go
+++ b/core/state/validate.go
@@ -49,7 +49,7 @@
 		return invalidJob("/tasks: the dependencies go in a circle").result()
 	}
 	unfinished := s.unfinished[spec.classKey()]
-	if class.QueueLimit > 0 && unfinished+len(spec.Tasks) > class.QueueLimit {
+	if class.MaxUnfinishedTasks > 0 && unfinished+len(spec.Tasks) > class.MaxUnfinishedTasks {
 		return rejectForNow(queueFullRetryAfter, status.QueueFull, "class %s has %d tasks waiting", spec.Class, unfinished)
 	}
 	return Result{Code: status.OK}
