--- a/core/gateway/heartbeat.go
+++ b/core/gateway/heartbeat.go
@@ -63,7 +63,7 @@
 func (g *Gateway) routeHeartbeat(now time.Duration, pending pendingRequest, out *machine.Output) {
 	delivery := &pending.delivery
 	zone := delivery.heartbeat.Zone
-	target := g.replica.Store.Leadership(scheduler.LeadershipOf(zone)).Leader
+	target := g.replica.Store.Leadership(scheduler.LeadershipName(zone)).Leader
 	if target == "" {
 		target = g.anyScheduler(zone, delivery.attempts)
 	}
--- a/core/gateway/request.go
+++ b/core/gateway/request.go
@@ -144,7 +144,7 @@
 	case RequestConfirmDead:
 		command.Kind = state.KindConfirmWorkerDead
 	case RequestMoveLeadership:
-		command.Kind, command.Name = state.KindTransferLeadership, scheduler.LeadershipOf(request.Name)
+		command.Kind, command.Name = state.KindTransferLeadership, scheduler.LeadershipName(request.Name)
 		command.SchedulerHeartbeat.Candidate = request.Target
 	case RequestConfigPut, RequestConfigPatch:
 		if !json.Valid(request.Body) {
--- a/core/scheduler/heartbeat.go
+++ b/core/scheduler/heartbeat.go
@@ -107,7 +107,7 @@
 // recordLeaderlessZone registers the scheduler again immediately, with a vote on the leadership
 // of a zone that has no leader.
 func (s *Scheduler) recordLeaderlessZone(now time.Duration, zone string) {
-	leader := s.access.State().Leadership(LeadershipOf(zone)).Leader
+	leader := s.access.State().Leadership(LeadershipName(zone)).Leader
 	if leader == "" && !s.stopping && !s.leaderlessZones[zone] {
 		s.leaderlessZones[zone], s.nextRegistration = true, now
 	}
--- a/core/scheduler/leadership.go
+++ b/core/scheduler/leadership.go
@@ -11,8 +11,8 @@
 // registrationInterval is the time between two registrations of a scheduler.
 const registrationInterval = 500 * time.Millisecond
 
-// LeadershipOf returns the name of the leadership for dispatch in a zone.
-func LeadershipOf(zone string) string { return "dispatch/" + zone }
+// LeadershipName returns the name of the leadership for dispatch in a zone.
+func LeadershipName(zone string) string { return "dispatch/" + zone }
 
 // LedZones returns the zones whose dispatch this scheduler leads, sorted by name.
 func (s *Scheduler) LedZones() []string {
@@ -26,7 +26,7 @@
 }
 
 func (s *Scheduler) leads(zone string) bool {
-	return s.access.State().Leadership(LeadershipOf(zone)).Leader == s.config.Address
+	return s.access.State().Leadership(LeadershipName(zone)).Leader == s.config.Address
 }
 
 // zones returns all known zones, sorted by name: those of this scheduler, of the workers, and
@@ -91,12 +91,12 @@
 // from another zone although a scheduler of the zone itself is available.
 func (s *Scheduler) voteFor(zone string) (state.SchedulerHeartbeat, bool) {
 	store := s.access.State()
-	leadership, candidate := store.Leadership(LeadershipOf(zone)), s.preferredLeader(zone)
+	leadership, candidate := store.Leadership(LeadershipName(zone)), s.preferredLeader(zone)
 	leads := leadership.Leader == s.config.Address
 	silent := leadership.Leader == "" || store.Now()-leadership.LastSeenAt > s.leaderTimeout()
 	transfer := leads && s.config.Zone != zone && candidate.Zone == zone
 	vote := s.registration()
-	vote.Leadership = LeadershipOf(zone)
+	vote.Leadership = LeadershipName(zone)
 	vote.Candidate = candidate.ID
 	vote.Epoch = leadership.Epoch
 	vote.Transfer = transfer
@@ -114,7 +114,7 @@
 		return
 	}
 	command := state.Command{
-		Kind: state.KindTakeLeadership, Name: LeadershipOf(zone), SchedulerHeartbeat: s.registration(),
+		Kind: state.KindTakeLeadership, Name: LeadershipName(zone), SchedulerHeartbeat: s.registration(),
 	}
 	s.access.Submit(now, command, commandTimeout, out)
 }
@@ -151,7 +151,7 @@
 		if successor.ID == "" {
 			continue
 		}
-		leadership := s.access.State().Leadership(LeadershipOf(zone))
+		leadership := s.access.State().Leadership(LeadershipName(zone))
 		transfer := s.registration()
 		transfer.Leadership = leadership.Name
 		transfer.Candidate = successor.ID
--- a/core/scheduler/proposals.go
+++ b/core/scheduler/proposals.go
@@ -34,7 +34,7 @@
 func (s *Scheduler) propose(
 	now time.Duration, zone string, kind state.CommandKind, proposal dispatch.Proposal, out *machine.Output,
 ) {
-	store, leadership := s.access.State(), LeadershipOf(zone)
+	store, leadership := s.access.State(), LeadershipName(zone)
 	pending := pendingProposal{
 		assignments: proposal.Assignments,
 		tasks:       proposal.Tasks,
