--- a/core/dispatch/near_data.go
+++ b/core/dispatch/near_data.go
@@ -23,7 +23,7 @@
 // elsewhere may not take it.
 func (d *Dispatcher) waitsForRack(store *state.Store, job *state.Job, task queuedTask, worker *state.Worker) bool {
 	i := task.ref.Index
-	if task.anyRack || d.options.WithoutNearPatience || isNearData(job, i, worker) {
+	if task.anyRack || d.options.WithoutRackWait || isNearData(job, i, worker) {
 		return false
 	}
 	return store.Now()-job.Tasks[i].ReadyAt < d.rackWait(job, i)
--- a/core/dispatch/options.go
+++ b/core/dispatch/options.go
@@ -11,9 +11,9 @@
 	WithoutStepPeers bool
 	// WithoutNearData ignores the rack of a task's data when placing the task.
 	WithoutNearData bool
-	// WithoutNearPatience allows a task to be stolen away from the rack of its data at once,
+	// WithoutRackWait allows a task to be stolen away from the rack of its data at once,
 	// and queues it in that rack only while the rack's load is about that of others.
-	WithoutNearPatience bool
+	WithoutRackWait bool
 	// WithoutRackPreemption preempts leases for a task in any rack, whichever rack it prefers.
 	WithoutRackPreemption bool
 	// WithoutVictimCost preempts the newest lease, however much work is lost with it.
--- a/core/dispatch/placement.go
+++ b/core/dispatch/placement.go
@@ -177,7 +177,7 @@
 	switch {
 	case d.health.deprioritized(store, worker) && !d.mayProbe(store, job, worker):
 		return rankDeprioritized
-	case nearData || d.options.WithoutNearPatience:
+	case nearData || d.options.WithoutRackWait:
 		return rankNearData
 	}
 	return rankAwayFromData
--- a/tool/experiment/policies.go
+++ b/tool/experiment/policies.go
@@ -24,7 +24,7 @@
 	"no-locality":        without(func(o *dispatch.Options) { o.WithoutLocality = true }),
 	"no-step-peers":      without(func(o *dispatch.Options) { o.WithoutStepPeers = true }),
 	"no-near-data":       without(func(o *dispatch.Options) { o.WithoutNearData = true }),
-	"no-near-patience":   without(func(o *dispatch.Options) { o.WithoutNearPatience = true }),
+	"no-near-patience":   without(func(o *dispatch.Options) { o.WithoutRackWait = true }),
 	"no-rack-preemption": without(func(o *dispatch.Options) { o.WithoutRackPreemption = true }),
 	"no-victim-cost":     without(func(o *dispatch.Options) { o.WithoutVictimCost = true }),
 	"no-overdue-runs":    without(func(o *dispatch.Options) { o.WithoutOverdueRuns = true }),
@@ -66,7 +66,7 @@
 func before(p *Policy) {
 	p.MaxLease, p.CallInterval = 6*time.Second, 100*time.Millisecond
 	o := &p.Dispatch
-	o.WithoutNearPatience = true
+	o.WithoutRackWait = true
 	o.WithoutRackPreemption, o.WithoutVictimCost = true, true
 	o.WithoutOverdueRuns, o.WithoutTrust = true, true
 }
