--- a/core/dispatch/reservation_search.go
+++ b/core/dispatch/reservation_search.go
@@ -51,7 +51,7 @@
 	r.places = r.places[:0]
 	for _, entry := range store.WorkerEntries() {
 		worker := entry.Record()
-		available := worker.Capacity.Sub(entry.LastingResources())
+		available := worker.Capacity.Sub(entry.LongRunningResources())
 		if uniform && (!available.Covers(need) || store.Fits(job, first, worker) != status.OK) {
 			continue
 		}
--- a/core/dispatch/tenant_limit.go
+++ b/core/dispatch/tenant_limit.go
@@ -112,7 +112,7 @@
 // longRunningUsageOf returns what a tenant's long-running tasks use.
 func (c *reservationCache) longRunningUsageOf(store *state.Store, tenant string) state.Resources {
 	if c.longRunning == nil {
-		c.longRunning = store.LastingUsage()
+		c.longRunning = store.LongRunningUsage()
 	}
 	return c.longRunning.Of(tenant)
 }
--- a/core/state/tenant.go
+++ b/core/state/tenant.go
@@ -51,9 +51,9 @@
 // TenantUsage returns the resources that a tenant uses.
 func (s *Store) TenantUsage(tenant string) Resources { return s.tenantUsage.Of(tenant) }
 
-// LastingUsage returns the resources that each tenant uses for long-running tasks that are
+// LongRunningUsage returns the resources that each tenant uses for long-running tasks that are
 // not being stopped.
-func (s *Store) LastingUsage() *quota.Usage {
+func (s *Store) LongRunningUsage() *quota.Usage {
 	lasting := quota.NewUsage()
 	for _, usage := range s.usage {
 		if usage.longRunning == (Resources{}) {
--- a/core/state/worker_entry.go
+++ b/core/state/worker_entry.go
@@ -28,9 +28,9 @@
 // StoppingResources returns the resources of its leases that are being stopped.
 func (e *WorkerEntry) StoppingResources() Resources { return e.usage.stopping }
 
-// LastingResources returns the resources of its leases of long-running tasks that are not
+// LongRunningResources returns the resources of its leases of long-running tasks that are not
 // being stopped.
-func (e *WorkerEntry) LastingResources() Resources { return e.usage.longRunning }
+func (e *WorkerEntry) LongRunningResources() Resources { return e.usage.longRunning }
 
 // LeaseCount returns the number of leases that it holds.
 func (e *WorkerEntry) LeaseCount() int { return len(e.usage.leases) }
