--- a/core/gateway/views.go
+++ b/core/gateway/views.go
@@ -26,7 +26,7 @@
 	// Version is the version of the configuration.
 	Version          uint64             `json:"sequence,omitempty"`
 	RetryAfterMillis int64              `json:"retryAfterMs,omitempty"`
-	Faults           []config.Violation `json:"faults,omitempty"`
+	Violations       []config.Violation `json:"faults,omitempty"`
 }
 
 func outcomeOf(result state.Result) Outcome {
@@ -36,7 +36,7 @@
 		Reason:           result.Reason,
 		Version:          result.ConfigVersion,
 		RetryAfterMillis: result.RetryAfter.Milliseconds(),
-		Faults:           result.Violations,
+		Violations:       result.Violations,
 	}
 }
 
