--- a/core/machine/decode_test.go
+++ b/core/machine/decode_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestMalformedBodyIsLoggedAndDropped passes on what can be decoded, and logs the rest.
+// TestMalformedBodyIsLoggedAndDropped checks that only bodies that can be decoded reach the
+// handler, and that the others are logged.
 func TestMalformedBodyIsLoggedAndDropped(t *testing.T) {
 	var out Output
 	var handled []int
--- a/core/machine/encoding.go
+++ b/core/machine/encoding.go
@@ -6,9 +6,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bodies are CBOR maps whose keys are the json names of the fields. Types with a text
-// form are encoded in it; times keep nanoseconds and zone. The limits on the number of
-// elements are lifted, since one message may carry a whole snapshot.
+// Bodies are CBOR maps whose keys are the json names of the fields. Types that implement
+// encoding.TextMarshaler are encoded as text; times keep nanoseconds and time zone. The
+// library's limits on the number of elements are raised to the maximum, since one message
+// may carry a complete snapshot.
 var (
 	encodeMode = must(cbor.EncOptions{
 		Time: cbor.TimeRFC3339Nano, TextMarshaler: cbor.TextMarshalerTextString,
--- a/core/machine/machine.go
+++ b/core/machine/machine.go
@@ -1,7 +1,7 @@
 // Package machine defines the event interface that every state machine of the system
-// has. A machine takes one input and the monotonic time and returns what to send, write
-// and respond, and when it wants to be called again. It does no input or output of its
-// own, so that the daemons and the simulator drive the same code.
+// implements. A machine takes one input and the monotonic time, and returns the messages
+// to send, the data to write, the responses, and when it is to be called again. It does
+// no I/O itself, so that the daemons and the simulator run the same code.
 package machine
 
 import (
@@ -13,43 +13,44 @@
 type Machine interface {
 	// Step handles one input. now is monotonic and never decreases.
 	Step(now time.Duration, in Input) Output
-	// NextTimer is the time by which Step is to be called with an empty input; 0 is never.
+	// NextTimer returns the time by which Step must be called with an empty input; 0 means
+	// never.
 	NextTimer() time.Duration
 }
 
-// Input is one event. At most one of its parts is set, beside those
-// that come with every input; one without any is an expired timer.
+// Input is one event: a Message, a CompletedWrite, a Request, Stop, or an expired timer if
+// none of these is set. The other fields qualify the event or come with every input.
 type Input struct {
 	// Message is a message from another process, if its Kind is set.
 	Message Message
-	// Waited is how long the message, if it is a request, waited for the process. It tells a
-	// machine that more comes than it can do.
+	// Waited is how long the message, if it is a request, waited in the process's receive
+	// queue. A long wait tells a machine that it receives more requests than it can handle.
 	Waited time.Duration
-	// CompletedWrite is the ID of a Write that is durable now; 0 is none.
+	// CompletedWrite is the ID of a Write that is now durable; 0 means none.
 	CompletedWrite uint64
-	// SnapshotDue comes with CompletedWrite: the log has grown long, and the next
+	// SnapshotDue may be set with CompletedWrite: the log has grown long, and the next
 	// write is to carry a snapshot.
 	SnapshotDue bool
 	// Request is a request by a client of the process, if its ID is not 0.
 	Request Request
 	// Stop tells the machine that the process is being stopped.
 	Stop bool
-	// Backlog is how many inputs wait behind this one. It comes with every input. Work that
-	// can be put off should be, while others wait for an answer.
+	// Backlog is the number of inputs queued behind this one; it comes with every input. While
+	// others wait for an answer, a machine should defer work that need not be done now.
 	Backlog int
-	// WallTime is the time of day, for the few decisions that users bind to it. It
-	// comes with every input and may jump.
+	// WallTime is the time of day, for the few decisions that users tie to it. It comes with
+	// every input and may jump.
 	WallTime time.Time
 }
 
-// IsTimer reports whether an input is an expired timer. It comes only once the completed writes
-// and the messages of other members that wait are handled.
+// IsTimer reports whether an input is an expired timer. A timer is delivered only after all pending
+// completed writes and messages of other members have been handled.
 func (in Input) IsTimer() bool {
 	return in.Message.Kind == "" && in.CompletedWrite == 0 && in.Request.ID == 0 && !in.Stop
 }
 
-// Request is a request by a client of the process. Which of the fields are set depends
-// on its kind.
+// Request is a request from a client of the process. Which fields are set depends on its
+// kind.
 type Request struct {
 	// ID is returned with the response.
 	ID   uint64
@@ -60,19 +61,22 @@
 	// process.
 	Body    json.RawMessage
 	Decoded any
-	// Wait is how long the response may be delayed until there is something new.
+	// Wait is the longest time that the response may be delayed until there is a change to
+	// report.
 	Wait time.Duration
-	// BaseVersion is the version of the configuration that a change was made on; with
-	// Force any version is accepted.
+	// BaseVersion is the version of the configuration that a change is based on; with Force
+	// any version is accepted.
 	BaseVersion uint64
 	Force       bool
 	// IdempotencyKey is the same for all repetitions of one request.
 	IdempotencyKey string
-	// KeyDigest is the digest of the key that the client presented; empty is none.
+	// KeyDigest is the digest of the key that the client presented; it is empty if the client
+	// presented none.
 	KeyDigest string
-	// Target is the address of the process that takes over a leadership.
+	// Target is the address of the process that is to take over a leadership.
 	Target string
-	// Enable tells the two directions of a switch apart, such as drain and undrain.
+	// Enable is true for a request that turns something on, such as drain, and false for the
+	// one that turns it off, such as undrain.
 	Enable bool
 }
 
--- a/core/machine/memory_disk.go
+++ b/core/machine/memory_disk.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// MemoryDisk keeps in memory what durable storage would keep, for the simulator and
-// for tests. Its zero value is empty.
+// MemoryDisk stands in for durable storage in the simulator and in tests. It keeps all
+// data in memory. Its zero value is an empty disk.
 type MemoryDisk struct {
 	// SnapshotThreshold is the size of the log in bytes above which a snapshot is due;
-	// 0 is never.
+	// 0 means that none ever is.
 	SnapshotThreshold int
 
 	replicaRecords         []Record
@@ -52,7 +52,7 @@
 	return d.SnapshotThreshold > 0 && d.loggedBytes > d.SnapshotThreshold
 }
 
-// Load returns what a replica that starts finds.
+// Load returns the stored data, as a replica reads it when it starts.
 func (d *MemoryDisk) Load() StoredState {
 	return StoredState{
 		Records:                slices.Concat(d.replicaRecords, d.stateRecords),
--- a/core/machine/message.go
+++ b/core/machine/message.go
@@ -8,45 +8,47 @@
 )
 
 // Message is one message between two processes. Body is encoded by Marshal and is
-// decoded by the receiving state machine, which knows the type that goes with Kind.
+// decoded by the receiving state machine, which knows the type of the body for each Kind.
 type Message struct {
 	Version int
 	Kind    string
 	// From is the sender's address.
 	From string
-	// CoalescingKey, where set, names the subject of the message. Of the messages of
-	// one kind, sender and key that wait at the receiver only the newest is delivered.
+	// CoalescingKey, if set, names the subject of the message. Of the messages with the same
+	// kind, sender and key that wait at the receiver, only the newest is delivered.
 	CoalescingKey string
 	Body          []byte
 }
 
 // UrgentKeyPrefix begins the coalescing keys of messages that are to be handled before other
-// requests. To a receiver of an earlier release they are keys like any other.
+// requests. A receiver of an earlier release treats such a key like any other.
 const UrgentKeyPrefix = "urgent/"
 
-// QuestionKeyPrefix begins the coalescing keys of questions that change nothing. To a receiver of
-// an earlier release they are keys like any other.
+// QuestionKeyPrefix begins the coalescing keys of questions, which change nothing. A receiver of an
+// earlier release treats such a key like any other.
 const QuestionKeyPrefix = "question/"
 
-// IsQuestion reports whether a message asks something and changes nothing.
+// IsQuestion reports whether a message is a question, which changes nothing.
 func (m Message) IsQuestion() bool { return strings.HasPrefix(m.CoalescingKey, QuestionKeyPrefix) }
 
-// IsUrgent reports whether a message is to be handled before other requests. It can be told
-// without decoding the body.
+// IsUrgent reports whether a message is to be handled before other requests. It does not need to
+// decode the body.
 func (m Message) IsUrgent() bool { return strings.HasPrefix(m.CoalescingKey, UrgentKeyPrefix) }
 
 // ProtocolVersion is the version of the message format. Version 1 was encoded as JSON.
 const ProtocolVersion = 2
 
-// maxNameLength is the longest kind, sender or key in bytes: its length takes one byte.
+// maxNameLength is the maximum length in bytes of a kind, sender or key: its length is encoded in
+// one byte.
 const maxNameLength = math.MaxUint8
 
-// ErrMalformedMessage is returned for a header that cannot be encoded, and for data
-// that AppendHeader has not written.
+// ErrMalformedMessage is returned for a header that cannot be encoded, and for data that
+// does not begin with a valid header.
 var ErrMalformedMessage = errors.New("malformed message")
 
-// AppendHeader appends what precedes the body in an encoded message: the version in
-// one byte, then kind, sender and coalescing key, each after its length in one byte.
+// AppendHeader appends the header of an encoded message, which precedes the body: the
+// version in one byte, then kind, sender and coalescing key, each after its length in one
+// byte.
 func (m Message) AppendHeader(out []byte) ([]byte, error) {
 	valid := m.Version >= 1 && m.Version <= math.MaxUint8 && m.Kind != "" && m.From != ""
 	if !valid || max(len(m.Kind), len(m.From), len(m.CoalescingKey)) > maxNameLength {
@@ -61,8 +63,8 @@
 	return append(out, m.CoalescingKey...), nil
 }
 
-// DecodeMessage decodes a header and takes the rest as the body, which shares memory
-// with the data.
+// DecodeMessage decodes a header and takes the rest of the data as the body, which shares
+// memory with the data.
 func DecodeMessage(data []byte) (Message, error) {
 	if len(data) == 0 || data[0] == 0 {
 		return Message{}, fmt.Errorf("decode header: %w: no version", ErrMalformedMessage)
@@ -82,7 +84,7 @@
 	return message, nil
 }
 
-// cutLengthPrefixed cuts a name, which its length in one byte precedes, off the front.
+// cutLengthPrefixed cuts a name, preceded by its length in one byte, off the front of data.
 func cutLengthPrefixed(data []byte) (name string, rest []byte, ok bool) {
 	if len(data) == 0 || len(data) <= int(data[0]) {
 		return "", nil, false
--- a/core/machine/output.go
+++ b/core/machine/output.go
@@ -5,14 +5,14 @@
 	"log/slog"
 )
 
-// Output is what one step wants done. The parts are done in the order of the fields.
+// Output lists the effects of one step. They are carried out in the order of the fields.
 type Output struct {
 	LogEvents    []LogEvent
 	Messages     []OutgoingMessage
 	Writes       []Write
 	AuditEntries []AuditEntry
 	Responses    []Response
-	// Stopped is set once the machine has finished what Input.Stop made it do.
+	// Stopped is set once the machine has completed the shutdown that Input.Stop began.
 	Stopped bool
 }
 
@@ -23,16 +23,17 @@
 	Fields []any
 }
 
-// AuditEntry is an entry of the audit log. Losing it does no harm but a visible gap.
+// AuditEntry is an entry of the audit log. If it is lost, the only harm is a visible gap in
+// that log.
 type AuditEntry struct {
-	// Index is the log position of the command that made the decisions.
+	// Index is the log index of the command that made the decisions.
 	Index uint64
-	// Data is the content. It is encoded only where an audit log is kept, and is not changed
-	// any more.
+	// Data is the content. It is encoded only if an audit log is kept, and must not be
+	// modified.
 	Data any
 }
 
-// Encode encodes the content, as one line without its end.
+// Encode encodes the content as one line, without the line break.
 func (e AuditEntry) Encode() json.RawMessage { return MustJSON(e.Data) }
 
 // Response answers the request with the same ID.
@@ -41,24 +42,25 @@
 	Body      any
 }
 
-// OutgoingMessage is a message to be sent. Those made by one Broadcast share their
-// encoding.
+// OutgoingMessage is a message to be sent. The messages of one Broadcast share the
+// encoding of their body.
 type OutgoingMessage struct {
-	// To is the receiver's address; an empty address is the process itself.
+	// To is the receiver's address; it is empty for a message to the process itself.
 	To             string
 	Kind           string
 	Body           any
 	sharedEncoding *encodedBody
 }
 
-// encodedBody is an encoding that is made when the first message with it is sent.
+// encodedBody is the shared encoding of a body. It is made when the first message that
+// shares it is encoded.
 type encodedBody struct {
 	data []byte
 	err  error
 }
 
-// Coalescable is a message body that makes an earlier one with the same key, which
-// still waits at the receiver, superfluous.
+// Coalescable is implemented by message bodies that make an earlier message with the same
+// key redundant if that still waits at the receiver.
 type Coalescable interface{ CoalescingKey() string }
 
 // Encode returns the body's encoding, which must not be changed.
@@ -105,7 +107,7 @@
 }
 
 // Warn adds a line of the process log for an event that the machine recovers from, but that
-// an operator should know of if it persists.
+// an operator should know about if it persists.
 func (o *Output) Warn(name string, fields ...any) {
 	o.LogEvents = append(o.LogEvents, LogEvent{Level: slog.LevelWarn, Name: name, Fields: fields})
 }
--- a/core/machine/output_test.go
+++ b/core/machine/output_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// countingBody counts how often it is encoded.
+// countingBody counts how many times it is encoded.
 type countingBody struct{ times *int }
 
 func (c countingBody) MarshalCBOR() ([]byte, error) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestSeparateSendsShareNoEncoding covers two broadcasts and a plain send.
+// TestSeparateSendsShareNoEncoding encodes the messages of two broadcasts and of one Send.
 func TestSeparateSendsShareNoEncoding(t *testing.T) {
 	var out Output
 	out.Broadcast([]string{"a", "b"}, "kind", 1)
--- a/core/machine/phase.go
+++ b/core/machine/phase.go
@@ -6,19 +6,19 @@
 type Phase int
 
 const (
-	// PhaseReceive is all that is no other phase, such as decoding a message.
+	// PhaseReceive covers everything outside the other phases, such as decoding a message.
 	PhaseReceive Phase = iota
 	// PhaseApply applies commands to the state and appends them to the log.
 	PhaseApply
 	// PhaseReplicate encodes new commands for peers and for the disk.
 	PhaseReplicate
-	// PhaseTimers does what is due by time alone.
+	// PhaseTimers does the work that is due at a certain time.
 	PhaseTimers
 	// PhaseEnqueue puts tasks into the queues of workers.
 	PhaseEnqueue
-	// PhaseSchedule chooses tasks for workers.
+	// PhaseSchedule selects tasks for workers.
 	PhaseSchedule
-	// PhasePreempt chooses leases to be preempted.
+	// PhasePreempt selects the leases to preempt.
 	PhasePreempt
 	// PhaseOrders answers the heartbeats of workers.
 	PhaseOrders
@@ -35,24 +35,25 @@
 // String returns the name of the phase in logs and metrics.
 func (p Phase) String() string { return phaseNames[p] }
 
-// PhaseTimes is the time that each phase took.
+// PhaseTimes holds how long each phase took.
 type PhaseTimes [PhaseCount]time.Duration
 
-// PhaseMeter measures how long the phases of a step take. A machine says which phase it
-// enters and learns nothing from the meter, so that it stays deterministic. A nil meter
+// PhaseMeter measures how long the phases of a step take. A machine reports which phase it
+// enters and reads no times from the meter, so that it stays deterministic. A nil meter
 // measures nothing. Its methods are called by the goroutine that steps the machines.
 type PhaseMeter struct {
 	now     func() time.Duration
 	current Phase
-	since   time.Duration
-	times   PhaseTimes
+	// since is the time up to which times are complete.
+	since time.Duration
+	times PhaseTimes
 }
 
 // NewPhaseMeter returns a meter with a monotonic clock.
 func NewPhaseMeter(now func() time.Duration) *PhaseMeter { return &PhaseMeter{now: now} }
 
-// Enter begins a phase and returns the one that it interrupts, which is to be entered again
-// afterwards.
+// Enter begins a phase and returns the one that it interrupts, which the caller must enter
+// again afterwards.
 func (m *PhaseMeter) Enter(phase Phase) (interrupted Phase) {
 	if m == nil {
 		return phase
@@ -74,12 +75,13 @@
 	return m.times
 }
 
+// advance adds the time since the last call to the current phase.
 func (m *PhaseMeter) advance(now time.Duration) {
 	m.times[m.current] += now - m.since
 	m.since = now
 }
 
-// Total is the time that all phases took together.
+// Total returns the sum over all phases.
 func (t PhaseTimes) Total() (total time.Duration) {
 	for _, spent := range t {
 		total += spent
@@ -87,7 +89,7 @@
 	return total
 }
 
-// Add returns the sums by phase.
+// Add returns the sum of two PhaseTimes for each phase.
 func (t PhaseTimes) Add(other PhaseTimes) PhaseTimes {
 	for phase, spent := range other {
 		t[phase] += spent
--- a/core/machine/phase_test.go
+++ b/core/machine/phase_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestPhaseMeterReturnsToInterruptedPhase enters a phase within another one.
+// TestPhaseMeterReturnsToInterruptedPhase enters a phase within another one, and checks that
+// the time after it counts for the interrupted phase.
 func TestPhaseMeterReturnsToInterruptedPhase(t *testing.T) {
 	now := time.Hour
 	meter := NewPhaseMeter(func() time.Duration { return now })
@@ -33,7 +34,7 @@
 func TestNilPhaseMeterMeasuresNothing(t *testing.T) {
 	var meter *PhaseMeter
 	if got := meter.Enter(PhaseApply); got != PhaseApply {
-		t.Errorf("it returns %v", got)
+		t.Errorf("Enter(PhaseApply) of a nil meter returns %v", got)
 	}
 }
 
--- a/core/status/status.go
+++ b/core/status/status.go
@@ -1,6 +1,6 @@
 // Package status defines the numbered status codes of all results, in messages between
 // processes as well as in the HTTP API. The numbers never change. docs/codes.md has the
-// same table for users; a test keeps the two equal.
+// same table for users; a test checks that the two are equal.
 package status
 
 import (
@@ -17,7 +17,7 @@
 	AlreadyDone Code = 1
 )
 
-// The request itself is wrong, and fails again when repeated.
+// The request itself is invalid, and fails again if it is repeated.
 const (
 	Malformed     Code = 100
 	TooLarge      Code = 101
@@ -46,7 +46,7 @@
 	NoRoute     Code = 302
 )
 
-// A lease on a task cannot be granted, or a worker not be confirmed dead.
+// A lease on a task cannot be granted, or a worker cannot be confirmed dead.
 const (
 	TaskNotPending        Code = 400
 	DependenciesUnmet     Code = 401
--- a/core/status/status_test.go
+++ b/core/status/status_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestDocumentedTableMatches keeps docs/codes.md and the codes equal.
+// TestDocumentedTableMatches checks that docs/codes.md has the same table as this package.
 func TestDocumentedTableMatches(t *testing.T) {
 	page, err := os.ReadFile("../../docs/codes.md")
 	if err != nil {
