--- a/core/replica/active_clock.go
+++ b/core/replica/active_clock.go
@@ -6,27 +6,27 @@
 	"sorrelloom/core/machine"
 )
 
-// maxActiveGap is how much of the time between two steps counts at most. A process that has
-// nothing to do is stepped in each timerInterval.
+// maxActiveGap is the most that the time between two steps adds to the active time. An idle
+// process is stepped every timerInterval.
 const maxActiveGap = 2 * timerInterval
 
-// activeClock counts the time in which this replica could notice what others did. What it
-// spends in a long step, without processor or suspended doesn't count: whatever came meanwhile
-// waits to be handled, and what it sends leaves after the step only.
+// activeClock measures the time in which this replica was able to handle input. Time spent in
+// a long step, without CPU or suspended does not count: input that arrived meanwhile is still
+// queued, and the step's messages are sent only at its end.
 type activeClock struct {
 	elapsed time.Duration
 	stepAt  time.Duration
 }
 
-// step notes that the replica is stepped.
+// step advances the clock at the start of a step.
 func (c *activeClock) step(now time.Duration) {
 	c.elapsed += min(now-c.stepAt, maxActiveGap)
 	c.stepAt = now
 }
 
-// watchDisks judges how long this primary's own disk and those of the backups have taken. It
-// does so at timers only: an acknowledgement, or a completed write, may wait behind any other
-// input.
+// watchDisks checks whether this primary's own disk or a backup's is slow. It runs only at
+// timers: at any other input, an acknowledgement or a completed write may still be queued
+// behind it.
 func (r *Replica) watchDisks(out *machine.Output) {
 	activeTime := r.activeClock.elapsed
 	r.disk.watchInFlight(activeTime)
--- a/core/replica/bootstrap.go
+++ b/core/replica/bootstrap.go
@@ -9,28 +9,28 @@
 	"sorrelloom/core/wire"
 )
 
-// minMembers is how many voters a view has at least.
+// minVoters is the minimum number of voters in a view.
 const minVoters = 3
 
-// bootstrap is the first view, if this replica made it.
+// bootstrap holds the first view if this replica created it; otherwise the view's epoch is 0.
 type bootstrap struct {
 	view    wire.View
 	writeID uint64 // of the write that syncs it
 }
 
-// synced reports whether a write that was completed has the view on the disk.
+// synced reports whether the view is on the disk once the given write is complete.
 func (b *bootstrap) synced(writeID uint64) bool {
 	return b.view.Epoch > 0 && writeID >= b.writeID
 }
 
-// tryBootstrap makes the first view of a cluster, once all founders have answered that
-// their disks are empty, or that they have none.
+// tryBootstrap creates the first view of a cluster once all founders have reported that their
+// disks are empty or that they have none.
 //
-// At most one replica does so: the founder with the lowest address of those with a disk.
-// As all founders must have answered, each of them knows which one that is. Where no
-// founder has a disk, it is the replica with the lowest address in the membership list.
-// The members are the founders; where they are too few, or one zone would hold more of
-// them than may be lost, others are waited for and added.
+// At most one replica does so: of the founders with a disk, the one with the lowest address.
+// Since all founders must have answered, each of them knows which one that is. If no founder
+// has a disk, it is the replica with the lowest address in the membership list. The members
+// are the founders. If these are too few, or one zone would contain more of them than may be
+// lost, it waits for other replicas and adds them.
 func (r *Replica) tryBootstrap(now time.Duration) {
 	if r.view().Epoch > 0 || r.bootstrap.view.Epoch > 0 || !r.identitySynced || len(r.config.Founders) < minVoters {
 		return
@@ -54,9 +54,9 @@
 	})
 }
 
-// foundersWithDisk are this replica and the founders with a disk, and how many of them are
-// founders. It is not ok if a founder has not answered, knows a view or is one that makes
-// the first view rather than this replica.
+// foundersWithDisk returns this replica and the founders with a disk, and how many of these
+// members are founders. ok is false if a founder has not answered, knows a view, or is the one
+// that creates the first view instead of this replica.
 func (r *Replica) foundersWithDisk() (members []wire.Member, count int, ok bool) {
 	members = []wire.Member{r.self}
 	for _, address := range r.config.Founders {
@@ -67,7 +67,7 @@
 		case a.Member.ID == "" || !a.Empty:
 			return nil, 0, false
 		case a.Proxy:
-			// It has no disk.
+			// A proxy has no disk.
 		case address < r.self.Address || paxos.ContainsMember(members, a.Member.ID):
 			return nil, 0, false
 		default:
@@ -78,7 +78,7 @@
 	return members, count, true
 }
 
-// mayBootstrap reports whether it is up to this replica to make the first view.
+// mayBootstrap reports whether this replica is the one that creates the first view.
 func (r *Replica) mayBootstrap(founderCount int, waited bool) bool {
 	if founderCount > 0 {
 		return slices.Contains(r.config.Founders, r.self.Address)
@@ -87,9 +87,9 @@
 	return waited && !slices.ContainsFunc(r.discovery.replicas(), isLower)
 }
 
-// chooseFirstMembers picks the members of the first view, its primary first and its
-// backups next. It is not ok while there are too few, or they are too unevenly spread over
-// the zones and have not been waited for yet.
+// chooseFirstMembers selects the members of the first view: first the primary, then the
+// backups, then the other voters. ok is false if there are too few, or, until the wait is
+// over, if there are fewer than wanted or too many of them in one zone.
 func chooseFirstMembers(
 	self wire.Member, founders []wire.Member, founderCount int, others []wire.Member, backupCount int, waited bool,
 ) (members []wire.Member, ok bool) {
@@ -110,16 +110,17 @@
 	return members, len(members) >= minVoters
 }
 
-// writeFirstView writes the first view. This replica adopts and tells it only once it is
-// synced. Otherwise all could lose power with the view on the disk of one that is no
-// founder; the founders would make another first view, and both could have successors.
+// writeFirstView writes the first view to the disk. This replica adopts and announces it only
+// once it is synced. Otherwise all replicas could lose power while only a replica that is not
+// a founder has the view on its disk; the founders would then create another first view, and
+// both views could have successors.
 func (r *Replica) writeFirstView(view wire.View) {
 	r.bootstrap = bootstrap{view: view, writeID: r.disk.lastWriteID + 1}
 	r.disk.putRecord(keyAcceptor, paxos.Acceptor{KnownView: view})
 }
 
-// spreadOverZones chooses members, the given one first, each from the zone that has the
-// fewest so far, in the order given.
+// spreadOverZones selects up to count members, beginning with first. Each further one comes
+// from the zone with the fewest selected members; ties are broken by the order of from.
 func spreadOverZones(first wire.Member, from []wire.Member, count int) []wire.Member {
 	out, perZone := []wire.Member{first}, map[string]int{first.Zone: 1}
 	for len(out) < min(count, len(from)) {
@@ -135,7 +136,7 @@
 	return out
 }
 
-// maxPerZone is how many members the zone with the most of them has.
+// maxPerZone returns the number of members in the zone that has the most.
 func maxPerZone(members []wire.Member) (count int) {
 	perZone := map[string]int{}
 	for _, member := range members {
--- a/core/replica/checkpoint.go
+++ b/core/replica/checkpoint.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// checkpointInterval is how many commands lie between two checkpoints.
+	// checkpointInterval is the number of commands between two checkpoints.
 	checkpointInterval = 2048
-	// maxCheckpoints reach back over all commands that can be uncommitted.
+	// maxCheckpoints is enough to cover all commands that can be uncommitted.
 	maxCheckpoints = 1 + (maxPendingCommands+checkpointInterval-1)/checkpointInterval
 )
 
-// checkpoints are snapshots of the state at earlier positions, the newest last. Commands
-// that were never committed are taken back by applying those before them to a checkpoint.
+// checkpoints are snapshots of the state at earlier positions, the newest last. To undo
+// commands that were never committed, the commands before them are replayed on a checkpoint.
 type checkpoints []*state.Snapshot
 
-// add takes a checkpoint once the state has moved on far enough.
+// add takes a checkpoint if checkpointInterval commands were applied since the last one.
 func (c *checkpoints) add(store *state.Store) {
 	if n := len(*c); n > 0 && store.Position().Index < (*c)[n-1].Position().Index+checkpointInterval {
 		return
@@ -28,8 +28,8 @@
 	}
 }
 
-// truncate drops the checkpoints after a position and gives the newest that is left, or
-// nil.
+// truncate drops the checkpoints after a position and returns the newest remaining one, or
+// nil if none remains.
 func (c *checkpoints) truncate(at state.LogPosition) *state.Snapshot {
 	for n := len(*c); n > 0; n-- {
 		if (*c)[n-1].Position().Index <= at.Index {
--- a/core/replica/commands.go
+++ b/core/replica/commands.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// maxHeldCommands is how many commands wait for a primary that is about to serve.
+	// maxHeldCommands bounds the commands that are held until a starting primary serves.
 	maxHeldCommands = 1024
-	// holdTimeout is how long a command waits for that before it is rejected.
+	// holdTimeout is how long a command is held before it is rejected.
 	holdTimeout = 500 * time.Millisecond
 )
 
-// commandQueue holds the commands that have no reply yet, and the replies to those of the
-// same process.
+// commandQueue contains the commands that have not been replied to yet, and the replies for
+// the same process.
 type commandQueue struct {
-	// pending were carried out and wait for their commit, in the order of the log.
+	// pending commands were executed and wait for their commit, in log order.
 	pending []pendingReply
-	// held arrived before the primary serves. They wait, in place of being rejected:
-	// their senders would all ask the other members at once, with all they have open.
+	// held commands arrived before the primary serves. They are not rejected, because their
+	// senders would then all send all their open requests to the other members at once.
 	held []heldCommand
-	local   []*wire.CommandReply
+	// local replies are for commands that the same process submitted.
+	local []*wire.CommandReply
 }
 
-// pendingReply goes out once its index is committed and the message with its sendID, or a
-// newer one, is acknowledged by all backups.
+// pendingReply is sent once its index is committed and all backups have acknowledged the
+// message with its sendID or a newer one.
 type pendingReply struct {
-	to         string // empty for a command of the same process
+	to         string // empty for a command submitted by the same process
 	body       *wire.CommandReply
 	index      uint64
 	sendID     uint64
 	receivedAt time.Duration
 }
 
-// heldCommand arrived before the primary serves.
+// heldCommand is a command that arrived before the primary serves.
 type heldCommand struct {
 	from       string
 	body       wire.CommandRequest
 	receivedAt time.Duration
 }
 
-// reply sends a command's reply, or keeps it for the same process.
+// reply sends a command's reply, or stores it if the same process submitted the command.
 func (q *commandQueue) reply(to string, body *wire.CommandReply, out *machine.Output) {
 	if to == "" {
 		q.local = append(q.local, body)
@@ -54,13 +55,14 @@
 	out.Send(to, wire.KindCommandReply, *body)
 }
 
-// isPending reports whether a command is among those that wait for their commit.
+// isPending reports whether a command of a sender waits for its commit.
 func (q *commandQueue) isPending(from string, id uint64) bool {
 	return slices.ContainsFunc(q.pending, func(p pendingReply) bool { return p.to == from && p.body.ID == id })
 }
 
-// oldestAge is how long the oldest pending command has waited for its commit. As commits
-// are in order, a new one is not expected to take less.
+// oldestAge returns how long the oldest pending command has waited for its commit, or 0 if
+// there is none. Since commits are in order, a new command is expected to take at least as
+// long.
 func (q *commandQueue) oldestAge(now time.Duration) time.Duration {
 	if len(q.pending) == 0 {
 		return 0
@@ -68,7 +70,8 @@
 	return now - q.pending[0].receivedAt
 }
 
-// newestSendID is the message that the newest pending reply waits for; 0 if there is none.
+// newestSendID returns the ID of the message that the newest pending reply waits for, or 0 if
+// there is none.
 func (q *commandQueue) newestSendID() uint64 {
 	if len(q.pending) == 0 {
 		return 0
@@ -76,7 +79,7 @@
 	return q.pending[len(q.pending)-1].sendID
 }
 
-// release sends the replies that wait for nothing any more, in order.
+// release sends the replies that are now committed and confirmed, in log order.
 func (q *commandQueue) release(commitIndex, ackedSendID uint64, out *machine.Output) {
 	count := 0
 	for ; count < len(q.pending); count++ {
@@ -90,32 +93,33 @@
 	q.pending = q.pending[count:]
 }
 
-// Backlogged reports whether so many commands wait for their commit that the process itself
-// should begin no more.
+// Backlogged reports whether so many commands wait for their commit that the same process
+// should submit no more.
 func (r *Replica) Backlogged() bool { return len(r.commands.pending) > maxPendingCommands/4 }
 
-// Submit takes a command from the same process; its reply comes by TakeLocalReplies.
+// Submit executes a command of the same process; TakeLocalReplies returns its reply.
 func (r *Replica) Submit(now time.Duration, id uint64, cmd state.Command, out *machine.Output) {
 	r.handleCommand(now, "", wire.CommandRequest{ID: id, Command: cmd}, out)
 }
 
-// HasLocalReplies reports whether there are replies to submitted commands.
+// HasLocalReplies reports whether TakeLocalReplies has replies to return.
 func (r *Replica) HasLocalReplies() bool { return len(r.commands.local) > 0 }
 
-// TakeLocalReplies gives the replies to submitted commands, each once.
+// TakeLocalReplies returns and removes the replies to submitted commands.
 func (r *Replica) TakeLocalReplies() []*wire.CommandReply {
 	replies := r.commands.local
 	r.commands.local = nil
 	return replies
 }
 
-// handleCommand carries a command out if its reply can still be of use to the sender.
+// handleCommand executes, holds or rejects a command. It drops one whose deadline has passed,
+// and a retry of one that is still pending.
 func (r *Replica) handleCommand(now time.Duration, from string, b wire.CommandRequest, out *machine.Output) {
 	if b.Command.Kind == state.KindHeartbeat {
 		r.NoteWorkerHeard(now)
 	}
-	// A stopping primary takes no more. With new commands always under way, the next
-	// primary would never have all of them, and leadership would not be handed over.
+	// A stopping primary accepts no commands. If new ones kept being replicated, the next
+	// primary would never have all of them, and leadership could not be handed over.
 	if !r.LeadershipConfirmed(now) || r.stopping {
 		if !r.holdCommand(now, from, b) {
 			r.commands.reply(from, r.notPrimaryReply(b.ID), out)
@@ -142,7 +146,7 @@
 	r.executeAndAwaitCommit(now, from, b, out)
 }
 
-// rejectQueueFull rejects a command that may come again later.
+// rejectQueueFull rejects a command that may be retried after the given time.
 func (r *Replica) rejectQueueFull(
 	from string, id uint64, reason string, retryAfter time.Duration, out *machine.Output,
 ) {
@@ -151,9 +155,9 @@
 	}}, out)
 }
 
-// executeAndAwaitCommit carries a command out; its reply waits for the commit of all commands up
-// to here, and for a message that all backups acknowledge after this moment. The latter
-// makes reads linearizable: until then no other primary can have served.
+// executeAndAwaitCommit executes a command. Its reply waits until all commands up to this
+// point are committed and all backups have acknowledged a message that is sent after it. The
+// latter makes reads linearizable: it proves that no other primary has served until then.
 func (r *Replica) executeAndAwaitCommit(now time.Duration, from string, b wire.CommandRequest, out *machine.Output) {
 	body := &wire.CommandReply{ID: b.ID, Result: r.execute(now, b.Command)}
 	body.AppliedIndex = r.log.position().Index
@@ -170,13 +174,14 @@
 	})
 }
 
-// logConfigChange logs a change of the configuration that was applied or rejected.
+// logConfigChange logs a configuration change and whether it was applied or rejected.
 func logConfigChange(b wire.CommandRequest, reply *wire.CommandReply, out *machine.Output) {
 	out.Log("config_change", "base", b.Command.ConfigChange.BaseVersion, "proposed", b.Command.ConfigChange.Version,
 		"code", reply.Result.Code.String(), "version", reply.Result.ConfigVersion, "index", reply.AppliedIndex)
 }
 
-// localOnly reports whether only the primary's own dispatcher may send a command.
+// localOnly reports whether a command may be submitted only by the dispatcher in the
+// primary's own process.
 func localOnly(cmd state.Command) bool {
 	switch cmd.Kind {
 	case state.KindTakeLeadership, state.KindRenewWorkers:
@@ -187,7 +192,7 @@
 	return false
 }
 
-// execute reads from the state or changes it.
+// execute runs a read-only command on the state, or applies and logs any other.
 func (r *Replica) execute(now time.Duration, cmd state.Command) state.Result {
 	if state.IsReadOnly(cmd.Kind) {
 		return r.log.store.Read(cmd)
@@ -205,7 +210,7 @@
 	return r.appendCommand(state.Encode(cmd))
 }
 
-// appendCommand applies a command and has it logged.
+// appendCommand applies a command and queues it for the log on disk.
 func (r *Replica) appendCommand(cmd state.EncodedCommand) state.Result {
 	interrupted := r.config.Phases.Enter(machine.PhaseApply)
 	defer r.config.Phases.Enter(interrupted)
@@ -213,9 +218,9 @@
 	return r.log.append(cmd)
 }
 
-// sendReceived tells the sender of a request for confirmation at once that it has arrived.
-// The confirmation itself waits for the disks. The status code is one that confirms
-// nothing, for senders that do not know the field.
+// sendReceived tells the sender of a request to confirm the leadership at once that the
+// request has arrived. The confirmation itself waits for the disks. The status code is that
+// of an unconfirmed leadership, for senders that do not know the field Received.
 func (r *Replica) sendReceived(to string, id uint64, out *machine.Output) {
 	if to == "" {
 		return
@@ -225,15 +230,15 @@
 	}})
 }
 
-// deadlinePassed reports whether nobody waits for the command's reply any more. The deadline
-// is in the state's time, so the time spent in queues on the way counts.
+// deadlinePassed reports whether the sender no longer waits for the command's reply. The
+// deadline is in state time, so time spent in queues before this process counts.
 func (r *Replica) deadlinePassed(now time.Duration, b wire.CommandRequest) bool {
 	return b.Deadline > 0 && r.Time(now) >= b.Deadline
 }
 
-// overloaded says why a command is not admitted: too many wait for their commit, or they
-// have waited for longer than the command has time.
-// Calls of operators are few and always admitted.
+// overloaded reports whether a command must be rejected, and why: too many commands wait for
+// their commit, or the oldest has already waited longer than this one may take. Urgent
+// commands, the calls of operators, are few and always admitted.
 func (r *Replica) overloaded(now time.Duration, b wire.CommandRequest) (reason string, overloaded bool) {
 	if b.Urgent {
 		return "", false
@@ -249,7 +254,8 @@
 	return "what is under way takes longer than this request has time", tooLate
 }
 
-// notPrimaryReply rejects a command and says where the primary is.
+// notPrimaryReply returns a rejection that names the primary, if it is another replica, and
+// the members.
 func (r *Replica) notPrimaryReply(id uint64) *wire.CommandReply {
 	reply := &wire.CommandReply{
 		ID:            id,
@@ -263,8 +269,8 @@
 	return reply
 }
 
-// holdCommand keeps a command for a primary that is about to serve; it reports whether it
-// does.
+// holdCommand holds a command if this replica is a primary that is about to serve, and reports
+// whether it did.
 func (r *Replica) holdCommand(now time.Duration, from string, body wire.CommandRequest) bool {
 	if from == "" || r.stopping || !r.Starting() || len(r.commands.held) >= maxHeldCommands {
 		return false
@@ -273,7 +279,7 @@
 	return true
 }
 
-// executeHeld takes up the commands that waited until this replica serves.
+// executeHeld handles the held commands now that this replica serves.
 func (r *Replica) executeHeld(now time.Duration, out *machine.Output) {
 	held := r.commands.held
 	r.commands.held = nil
@@ -282,7 +288,7 @@
 	}
 }
 
-// rejectExpired rejects the commands that have waited for too long.
+// rejectExpired rejects the commands that were held for longer than holdTimeout.
 func (r *Replica) rejectExpired(now time.Duration, out *machine.Output) {
 	held := r.commands.held
 	count := 0
@@ -293,7 +299,7 @@
 	r.commands.held = held[count:]
 }
 
-// rejectAll rejects all commands without a reply, since another replica leads now.
+// rejectAll rejects all pending and held commands, since another replica leads now.
 func (r *Replica) rejectAll(out *machine.Output) {
 	for _, p := range r.commands.pending {
 		r.commands.reply(p.to, r.notPrimaryReply(p.body.ID), out)
--- a/core/replica/commit.go
+++ b/core/replica/commit.go
@@ -10,26 +10,27 @@
 	"sorrelloom/core/wire"
 )
 
-// maxAuditEntries is to how many audit entries a replica that does not serve cuts those
-// that it keeps, once they are over twice as many.
+// maxAuditEntries is how many audit entries a replica that does not serve keeps. It drops
+// the older ones once it has more than twice as many.
 const maxAuditEntries = 1024
 
-// pendingAck is an acknowledgement that waits for this replica's disk.
+// pendingAck is an acknowledgement to send once index is synced to this replica's disk.
 type pendingAck struct {
 	to    string
 	body  wire.ReplicateAck
 	index uint64
 }
 
-// commitPoint is the commit rule. It gives the last command that is synced wherever a
-// commit requires it, and the newest message that all backups acknowledged, for which the
-// answers to reads wait.
+// commitPoint implements the commit rule. It returns the index of the last command that is
+// synced to every disk that a commit requires, and the send ID of the newest message that all
+// backups have acknowledged. Replies to reads wait for the latter.
 //
-// A commit requires the disks of this primary and of all backups of the view, since any
-// of them may lead the next view. It also requires those that were proposed as backups
-// of the next view: it may be decided at any moment, and then these are the disks that a
-// committed command is guaranteed to be on. A backup that is a candidate itself counts as
-// having nothing, as it may have proposed a view with backups that lack newer commands.
+// A commit requires the disks of this primary and of all backups of the view, since any of
+// them may lead the next view. It also requires the disks of all replicas that were proposed
+// as backups of the next view: that view may be decided at any moment, and its disks are then
+// the ones guaranteed to hold a committed command. A backup that is itself a candidate counts
+// as having synced nothing, since it may have proposed a view whose backups lack newer
+// commands.
 func (r *Replica) commitPoint() (index, sendID uint64) {
 	index, sendID = r.log.syncedIndex, math.MaxUint64
 	for _, member := range r.view().Backups {
@@ -42,10 +43,10 @@
 	return index, sendID
 }
 
-// LeadershipConfirmed reports whether this replica serves and all its backups have answered
-// it in this epoch within the suspect timeout. Any one of them may lead the next view, so
-// answers of some of them confirm nothing. Another replica may lead by now all the same;
-// replies to commands wait for commitPoint besides.
+// LeadershipConfirmed reports whether this replica serves and all its backups have replied
+// within the suspect timeout. Replies from only some of them confirm nothing, since any backup may
+// lead the next view. Even a confirmed leadership may already have ended; replies to commands
+// therefore also wait for commitPoint.
 func (r *Replica) LeadershipConfirmed(now time.Duration) bool {
 	for _, member := range r.view().Backups {
 		if now-r.peers.heardAt(member.ID) >= suspectTimeout {
@@ -55,8 +56,8 @@
 	return r.leadership.serving
 }
 
-// releaseCommitted sends what waited for disks: a backup's acknowledgements, and the
-// primary's replies, audit entries and feed updates once what they rest on is committed.
+// releaseCommitted sends the acknowledgements whose commands are synced to this disk and, on
+// the primary, the replies, audit entries and feed updates whose commands are committed.
 func (r *Replica) releaseCommitted(out *machine.Output) {
 	r.releaseAcks(out)
 	if !r.leadership.serving {
@@ -69,7 +70,7 @@
 	r.feed.publish(r.view().Epoch, &r.log, out)
 }
 
-// releaseAcks sends the acknowledgements of what is synced by now.
+// releaseAcks sends the acknowledgements of commands that are synced.
 func (r *Replica) releaseAcks(out *machine.Output) {
 	var unsynced []pendingAck
 	for _, ack := range r.acks {
@@ -82,13 +83,13 @@
 	r.acks = unsynced
 }
 
-// auditQueue holds audit entries until their commands are committed.
+// auditQueue buffers audit entries until their commands are committed.
 type auditQueue struct {
 	entries []state.AuditEntry
 }
 
-// add takes new entries. A replica that does not serve releases none, and keeps only the
-// newest, for the case that it leads next.
+// add appends entries. A replica that does not serve releases none and keeps only the newest,
+// in case it becomes the primary.
 func (q *auditQueue) add(entries []state.AuditEntry, serving bool) {
 	q.entries = append(q.entries, entries...)
 	if !serving && len(q.entries) > 2*maxAuditEntries {
@@ -96,7 +97,7 @@
 	}
 }
 
-// release outputs the entries up to the commit index.
+// release moves the entries up to the commit index to the output.
 func (q *auditQueue) release(commitIndex uint64, out *machine.Output) {
 	count := 0
 	for count < len(q.entries) && q.entries[count].Index <= commitIndex {
--- a/core/replica/config.go
+++ b/core/replica/config.go
@@ -6,59 +6,61 @@
 	"sorrelloom/core/machine"
 )
 
-// Config is what a process is started with.
+// Config is the configuration of a replica at its start.
 type Config struct {
 	Address string
 	Zone    string
 	// Founders are the addresses of the bootstrap members; empty after the first start.
 	Founders []string
-	// NewID is the identity that an empty disk is given.
+	// NewID is the identity of the replica if its disk is empty.
 	NewID string
-	// BootID differs between any two starts of a process.
+	// BootID identifies this run of the process. No two runs have the same one.
 	BootID uint64
-	// BackupCount is how many backups a view has, at least 1. It is also how many disks
-	// may be lost at once.
+	// BackupCount is the number of backups in a view, at least 1. It is also the number of
+	// disks that may be lost at the same time.
 	BackupCount int
-	// HasDispatcher says that a dispatcher in the same process takes the state's changes.
+	// HasDispatcher is set if a dispatcher in the same process consumes the state's changes.
 	HasDispatcher bool
-	// Phases measures the steps of the replica; nil measures nothing.
+	// Phases measures the time spent in each phase of a step; nil disables it.
 	Phases *machine.PhaseMeter
 }
 
 const (
-	// heartbeatInterval is how often the primary sends when it has nothing new.
+	// heartbeatInterval is the interval between messages of an idle primary.
 	heartbeatInterval = 150 * time.Millisecond
-	// timerInterval is after what time a replica is stepped at the latest.
+	// timerInterval is the longest time between two steps of a replica.
 	timerInterval = heartbeatInterval / 3
-	// suspectTimeout is after which silence a replica is suspected to be down.
+	// suspectTimeout is the silence after which a replica is suspected to be down.
 	suspectTimeout = 1000 * time.Millisecond
-	// memberLossTimeout is after which silence a voter that is no backup is replaced.
+	// memberLossTimeout is the silence after which a voter that is not a backup is replaced.
 	memberLossTimeout = 1500 * time.Millisecond
-	// subscriptionTTL is how long a subscription to the change feed lasts.
+	// subscriptionTTL is how long a subscription to the change feed lasts without renewal.
 	subscriptionTTL = 3 * time.Second
-	// maxPendingCommands is how many commands wait for their commit at most.
+	// maxPendingCommands bounds the commands that wait for their commit.
 	maxPendingCommands = 4096
-	// candidacyDelay is by how much each backup gives those ranked before it a head start.
+	// candidacyDelay is the additional delay of a backup's candidacy per backup ranked before
+	// it.
 	candidacyDelay = 150 * time.Millisecond
-	// bootstrapWait is how long the first view is delayed for more members.
+	// bootstrapWait is how long the first view is delayed until more members are available.
 	bootstrapWait = 3 * time.Second
-	// slowDiskTimeout is how long a write may take before another replica is preferred.
+	// slowDiskTimeout is how long a write may take before the disk counts as slow and its
+	// replica is to be replaced as primary or backup.
 	slowDiskTimeout = 400 * time.Millisecond
 	// maxProposalBackoff bounds the time between two ballots.
 	maxProposalBackoff = 3 * time.Second
-	// tickInterval is how often the state is asked whether it needs a tick command.
+	// tickInterval is how often the primary checks whether the state needs a tick command.
 	tickInterval = 50 * time.Millisecond
-	// batchInterval is for how long the primary gathers commands into one batch, and
-	// standbyBatchInterval for how long those for the voters that are no backups.
+	// batchInterval is how long the primary gathers commands into one batch, and
+	// standbyBatchInterval how long it does so for voters that are not backups.
 	batchInterval        = 8 * time.Millisecond
 	standbyBatchInterval = 40 * time.Millisecond
-	// minRetryAfter is the least time after which a rejected command may be retried.
+	// minRetryAfter is the minimum delay before a rejected command may be retried.
 	minRetryAfter = time.Second
 	// resendTimeout is how long a peer's replies to older messages are ignored after
 	// replication to it was restarted at another position.
 	resendTimeout = 2 * time.Second
 	// successorTimeout is how long a stopping backup waits to be replaced.
 	successorTimeout = 600 * time.Millisecond
-	// slowWriteLog is how long a write takes for a log event.
+	// slowWriteLog is the duration above which a write is logged as slow.
 	slowWriteLog = 500 * time.Millisecond
 )
--- a/core/replica/discovery.go
+++ b/core/replica/discovery.go
@@ -8,29 +8,30 @@
 	"sorrelloom/core/wire"
 )
 
-// discovery is what a replica knows of other processes beside the view.
+// discovery is what a replica knows of other processes from sources other than the view.
 type discovery struct {
-	// announcements are what other replicas last said of themselves, by address.
+	// announcements are the latest statuses that other replicas sent, by address.
 	announcements map[string]announcement
 	// nodes is the membership list of all processes.
-	nodes       []wire.Node
+	nodes []wire.Node
+	// requestedAt is when the newest view was last requested.
 	requestedAt time.Duration
 }
 
-// announcement is what another replica said of itself, and when.
+// announcement is the status that another replica sent, and when it arrived.
 type announcement struct {
 	wire.BootstrapStatus
 	receivedAt time.Duration
 }
 
-// heard reports whether a member has just announced itself.
+// heard reports whether a member announced itself within the suspect timeout.
 func (d *discovery) heard(now time.Duration, member wire.Member) bool {
 	a := d.announcements[member.Address]
 	return a.Member.ID == member.ID && now-a.receivedAt <= suspectTimeout
 }
 
-// announced are those that announced themselves a moment ago with a disk of their own, in
-// no order.
+// announced returns the replicas with a disk that announced themselves within the suspect
+// timeout and that wanted accepts, in no particular order.
 func (d *discovery) announced(now time.Duration, wanted func(announcement) bool) []wire.Member {
 	var out []wire.Member
 	for _, a := range d.announcements {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// replicas are those of the membership list.
+// replicas returns the replicas in the membership list.
 func (d *discovery) replicas() []wire.Node {
 	var out []wire.Node
 	for _, node := range d.nodes {
@@ -53,15 +54,16 @@
 }
 
 // confirmedDead reports whether a replica with another identity has announced itself at a
-// member's address since the member was last heard. Two processes cannot listen at one
-// address, so nothing needs to be waited for. This only hastens a proposal: who may lead
-// and who decides does not depend on it.
+// member's address since the member was last heard. Two processes cannot listen at the same
+// address, so no timeout is needed. This only speeds up a proposal: safety does not depend on
+// it.
 func (r *Replica) confirmedDead(member wire.Member) bool {
 	a, ok := r.discovery.announcements[member.Address]
 	return ok && a.Member.ID != member.ID && a.receivedAt > r.peers.heardAt(member.ID)
 }
 
-// requestView asks founders, voters and other replicas for the newest view.
+// requestView asks the founders, the voters and all other known replicas for the newest view,
+// at most once every two heartbeat intervals.
 func (r *Replica) requestView(now time.Duration, out *machine.Output) {
 	if r.discovery.requestedAt > 0 && now-r.discovery.requestedAt < 2*heartbeatInterval {
 		return
@@ -74,7 +76,7 @@
 	}
 }
 
-// discoveryTargets are the addresses to ask for the view, each once.
+// discoveryTargets returns the addresses to ask for the view, without duplicates.
 func (r *Replica) discoveryTargets() []string {
 	targets := slices.Clone(r.config.Founders)
 	for _, member := range r.view().Voters {
@@ -90,13 +92,13 @@
 	return targets
 }
 
-// bootstrapStatus is what this replica says of itself.
+// bootstrapStatus returns the status that this replica announces.
 func (r *Replica) bootstrapStatus() wire.BootstrapStatus {
 	return wire.BootstrapStatus{Member: r.self, Empty: r.view().Epoch == 0, View: *r.view()}
 }
 
-// handleBootstrapStatus takes note of what another replica says of itself, and answers if
-// it asks. The answer waits for the disk: it tells this replica's identity.
+// handleBootstrapStatus records the status of another replica, and replies if it is a probe.
+// The reply waits for the disk, since it contains this replica's identity.
 func (r *Replica) handleBootstrapStatus(
 	now time.Duration, message machine.Message, b wire.BootstrapStatus, out *machine.Output,
 ) {
--- a/core/replica/disk.go
+++ b/core/replica/disk.go
@@ -8,8 +8,8 @@
 	"sorrelloom/core/state"
 )
 
-// Records of a replica's own on its disk, beside the state and the log. The names are
-// part of the format on disk.
+// Bucket and keys of the records in which a replica stores data of its own, beside the state
+// and the log. The names are part of the on-disk format.
 const (
 	bucketReplica     = "keeper"
 	keyIdentity       = "identity"
@@ -18,11 +18,10 @@
 	keyFounders       = "founders"
 )
 
-// diskWriter gathers what is to be written into batches, of which one at a time is on its
-// way to the disk.
+// diskWriter collects changes into batches and has at most one batch in flight to the disk.
 type diskWriter struct {
-	// For the next batch: the replica's own records, how many commands to drop from the
-	// end of the log, those to append to it, and whether a snapshot replaces all of it.
+	// The next batch: the replica's own records, how many commands to drop from the end of
+	// the log, the commands to append, and whether a snapshot replaces the whole log.
 	records       []machine.Record
 	truncateCount int
 	commands      []json.RawMessage
@@ -30,34 +29,35 @@
 	// messages are to be sent once the next batch is synced.
 	messages []machine.OutgoingMessage
 
-	// snapshotDue says that the log on the disk has grown long.
+	// snapshotDue is set once the log on the disk has grown long.
 	snapshotDue bool
-	// snapshotPosition is that of the last snapshot that was written.
+	// snapshotPosition is the position of the last snapshot written.
 	snapshotPosition state.LogPosition
 
 	lastWriteID uint64
 	inFlight    inFlightWrite
 	startedAt   time.Duration // of the last write
-	// loggedSlowID is the write for which a handover was logged last.
+	// loggedSlowID is the last write for which a handover was logged.
 	loggedSlowID uint64
-	// awaitedSince is when the batch on its way was first looked at, on the attentive
-	// clock; late says that it had taken too long when last looked at.
+	// awaitedSince is when the batch in flight was first checked, on the active clock; slow is
+	// set if it had taken too long when last checked.
 	awaitedSince time.Duration
 	slow         bool
 }
 
-// inFlightWrite is a batch on its way to the disk, and what holds once it is synced.
+// inFlightWrite is a batch that is being written, and what takes effect once it is synced.
 type inFlightWrite struct {
 	id       uint64 // 0 if there is none
 	messages []machine.OutgoingMessage
-	// index is the last command and candidateEpoch the last candidacy on the disk then.
+	// index is the last command, and candidateEpoch the last candidacy, on the disk once the
+	// batch is synced.
 	index          uint64
 	candidateEpoch uint64
-	// withSnapshot says that a snapshot is written behind it.
+	// withSnapshot is set if a snapshot is written after the batch.
 	withSnapshot bool
 }
 
-// putRecord has one of the replica's own records written.
+// putRecord adds one of the replica's own records to the next batch.
 func (d *diskWriter) putRecord(key string, value any) {
 	record := machine.Record{Bucket: bucketReplica, Key: key, Value: machine.MustJSON(value)}
 	d.records = append(d.records, record)
@@ -65,38 +65,39 @@
 
 func (d *diskWriter) appendCommand(encoded json.RawMessage) { d.commands = append(d.commands, encoded) }
 
-// sendAfterSync sends a message once all that was changed so far is synced.
+// sendAfterSync sends a message once all changes made so far are synced.
 func (d *diskWriter) sendAfterSync(to, kind string, body any) {
 	d.messages = append(d.messages, machine.OutgoingMessage{To: to, Kind: kind, Body: body})
 }
 
-// truncate drops the newest commands, so that the log ends at a position.
+// truncate drops the newest count commands, so that the log ends at a position.
 func (d *diskWriter) truncate(count int, to state.LogPosition) {
 	unwritten := min(count, len(d.commands))
 	d.commands = d.commands[:len(d.commands)-unwritten]
 	d.truncateCount += count - unwritten
 	if to.Index < d.snapshotPosition.Index {
-		// The snapshot on the disk is of a later position already.
+		// The snapshot on the disk is already of a later position.
 		d.replaceAll()
 	}
 	d.lowerSynced(to.Index)
 }
 
-// replaceAll has a snapshot of the state take the place of snapshot and log.
+// replaceAll makes the next batch replace the snapshot and the log on the disk by a snapshot
+// of the state.
 func (d *diskWriter) replaceAll() {
 	d.truncateCount, d.commands, d.replaceLog = 0, nil, true
 }
 
-// lowerSynced has the batch on its way confirm nothing after an index: the commands that
-// it has there were dropped meanwhile.
+// lowerSynced limits what the batch in flight confirms to an index: its later commands were
+// dropped after the write was issued.
 func (d *diskWriter) lowerSynced(index uint64) {
 	d.inFlight.index = min(d.inFlight.index, index)
 }
 
-// busy reports whether a batch is on its way to the disk.
+// busy reports whether a batch is in flight.
 func (d *diskWriter) busy() bool { return d.inFlight.id > 0 }
 
-// watchInFlight judges whether the batch on its way takes too long, by the attentive clock.
+// watchInFlight checks whether the batch in flight has taken too long, by the active clock.
 func (d *diskWriter) watchInFlight(activeTime time.Duration) {
 	if !d.busy() || d.awaitedSince == 0 {
 		d.awaitedSince = activeTime
@@ -108,14 +109,15 @@
 	return len(d.records) == 0 && len(d.commands) == 0 && d.truncateCount == 0 && !d.replaceLog
 }
 
-// takeMessages gives the messages that waited for a write, when there is nothing to write.
+// takeMessages returns and removes the messages that wait for the next batch. It is called if
+// there is nothing to write.
 func (d *diskWriter) takeMessages() []machine.OutgoingMessage {
 	messages := d.messages
 	d.messages = nil
 	return messages
 }
 
-// begin gives the next batch, with a snapshot if one is due.
+// begin returns the next batch, with a snapshot if one is due, and marks it as in flight.
 func (d *diskWriter) begin(now time.Duration, store *state.Store, candidateEpoch uint64) machine.Write {
 	d.lastWriteID++
 	write := machine.Write{
@@ -136,7 +138,7 @@
 	return write
 }
 
-// complete takes note that a batch is synced. It reports whether it was the one on its way.
+// complete records that a batch is synced. It returns false if that batch is not in flight.
 func (d *diskWriter) complete(id uint64) (inFlightWrite, bool) {
 	if !d.busy() || d.inFlight.id != id {
 		return inFlightWrite{}, false
@@ -146,7 +148,7 @@
 	return done, true
 }
 
-// handleWriteDone goes on with what waited for a batch to be synced.
+// handleWriteDone continues the work that waited for a batch to be synced.
 func (r *Replica) handleWriteDone(now time.Duration, id uint64, out *machine.Output) {
 	write, ok := r.disk.complete(id)
 	if !ok {
--- a/core/replica/election.go
+++ b/core/replica/election.go
@@ -11,27 +11,28 @@
 	"sorrelloom/core/wire"
 )
 
-// election is this replica's attempt to have the next view decided.
+// election is the state of this replica's attempts to get the next view decided.
 type election struct {
 	proposal   paxos.Proposal
 	lastBallot wire.Ballot
-	proposedAt time.Duration // of the last proposal in this epoch; 0 without one
+	proposedAt time.Duration // of the last proposal in this epoch; 0 if there was none
 	// proposedBackups are the backups of all views that this replica proposed in this
 	// epoch while it served. Any of these views may still be decided.
 	proposedBackups []wire.Member
-	// candidateEpoch is the last epoch in which this replica, as a backup, wants to lead
-	// the next one; syncedCandidateEpoch is the same once it is on the disk.
+	// candidateEpoch is the last epoch in which this replica, as a backup, became a candidate
+	// for primary of the next one; syncedCandidateEpoch is the same value once it is on the
+	// disk.
 	candidateEpoch       uint64
 	syncedCandidateEpoch uint64
 }
 
-// beginEpoch forgets the proposals of the previous epoch.
+// beginEpoch resets the proposal state at the start of an epoch.
 func (e *election) beginEpoch() {
 	e.proposal, e.lastBallot, e.proposedAt, e.proposedBackups = paxos.Proposal{}, wire.Ballot{}, 0, nil
 }
 
-// undecidedFor is how long ago a serving primary last proposed a view that is not decided
-// yet; 0 without one.
+// undecidedFor returns the time since a serving primary last proposed a view that is still
+// undecided, or 0 if there is no such view.
 func (e *election) undecidedFor(now time.Duration) time.Duration {
 	if len(e.proposedBackups) == 0 {
 		return 0
@@ -39,7 +40,7 @@
 	return now - e.proposedAt
 }
 
-// highestBallot is the highest that this replica has seen in this epoch.
+// highestBallot returns the highest ballot that this replica has seen in this epoch.
 func (e *election) highestBallot(promised wire.Ballot) wire.Ballot {
 	highest := e.lastBallot
 	for _, ballot := range []wire.Ballot{e.proposal.HighestPromised, promised} {
@@ -50,9 +51,10 @@
 	return highest
 }
 
-// backoff is the least time between two ballots. It differs between two candidates,
-// without a clock or chance, and grows, so that votes from slow disks arrive before the
-// next ballot makes them void.
+// backoff returns the minimum time between two ballots. It is derived from a hash of the ID
+// rather than from a clock or random numbers, so that it differs between candidates. It grows
+// with the round, so that votes from slow disks arrive before the next ballot invalidates
+// them.
 func (e *election) backoff(id string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte{byte(e.lastBallot.Round)})
@@ -61,13 +63,13 @@
 	return min(wait<<min(e.lastBallot.Round/2, 10), maxProposalBackoff)
 }
 
-// campaign has a backup that does not hear the primary propose itself as the next one.
-// Backups later in the view's order give those before them time.
+// campaign makes a backup that no longer hears the primary propose itself as the next one.
+// Backups later in the view's order wait longer, so that earlier ones go first.
 //
-// The candidacy is synced first. From then on, also after a restart, this replica's
-// acknowledgements say that it is a candidate, and the primary commits nothing by them in
-// this epoch. Otherwise the primary could commit with them what the backups of the
-// proposed view lack.
+// The candidacy is synced before the proposal. From then on, also after a restart, this
+// replica's acknowledgements mark it as a candidate, and the primary does not count them for
+// commits in this epoch. Otherwise the primary could use them to commit commands that the
+// backups of the proposed view lack.
 func (r *Replica) campaign(now time.Duration, out *machine.Output) {
 	known := r.view()
 	if !r.mayCampaign(now) {
@@ -88,8 +90,9 @@
 	r.proposeWhenReady(now, r.nextView(r.self, r.pickBackups(now, known.Primary.ID)), out)
 }
 
-// mayCampaign reports whether this backup has missed the primary for long enough for its
-// rank, and no backup ranked before it was heard lately.
+// mayCampaign reports whether the primary has been silent for long enough for this backup's
+// rank, and no backup ranked before it was heard recently. After a silence of twice the
+// suspect timeout the other backups no longer matter.
 func (r *Replica) mayCampaign(now time.Duration) bool {
 	known := r.view()
 	rank := slices.IndexFunc(known.Backups, func(member wire.Member) bool { return member.ID == r.self.ID })
@@ -109,9 +112,10 @@
 	})
 }
 
-// reclaimLeadership has a restarted primary go on with its backups, or with others while
-// only those are heard. It probes all voters: if it probed some only, and one of them
-// never came back, the others could not make themselves heard.
+// reclaimLeadership lets the primary, usually after a restart, propose a view in which it
+// leads with its backups or, if these are silent, with other voters. It probes all voters: a
+// voter that is not probed has no occasion to reply, so probing only some of them would fail
+// if one of these never came back.
 func (r *Replica) reclaimLeadership(now time.Duration, out *machine.Output) {
 	for _, member := range r.view().Voters {
 		if member.ID != r.self.ID {
@@ -121,8 +125,9 @@
 	r.proposeWhenReady(now, r.nextView(r.self, r.pickBackups(now)), out)
 }
 
-// proposeWhenReady proposes a view once all its backups have everything, and sends them
-// what they lack until then. A decided view therefore never lacks a committed command.
+// proposeWhenReady proposes a view once all its backups are up to date, and until then sends
+// them the commands that they lack. The backups of a decided view therefore have every
+// committed command.
 func (r *Replica) proposeWhenReady(now time.Duration, view wire.View, out *machine.Output) {
 	ready := len(view.Backups) == r.backupCount()
 	for _, member := range view.Backups {
@@ -141,7 +146,8 @@
 	}
 }
 
-// propose asks the voters for a view, with a ballot above all that this replica has seen.
+// propose starts a proposal for a view, with a ballot above all that this replica has seen,
+// unless the backoff since the last proposal is not over.
 func (r *Replica) propose(now time.Duration, view wire.View, out *machine.Output) {
 	e := &r.election
 	if e.proposedAt > 0 && now-e.proposedAt < e.backoff(r.self.ID) {
@@ -170,8 +176,8 @@
 	}
 }
 
-// handlePaxosRequest replies to a prepare or accept request once the acceptor's new state
-// is synced. A vote that was forgotten could let an epoch be decided twice.
+// handlePaxosRequest replies to a prepare or accept request once the acceptor's new state is
+// synced. If an acceptor forgot a vote, an epoch could be decided twice.
 func (r *Replica) handlePaxosRequest(
 	now time.Duration, from, kind string, b wire.PaxosMessage, out *machine.Output,
 ) {
@@ -189,8 +195,8 @@
 	r.disk.sendAfterSync(from, replyKind, reply)
 }
 
-// handlePaxosReply counts a vote for this replica's proposal, and tells all voters of the
-// view once it is decided.
+// handlePaxosReply counts a vote for this replica's proposal. Once the view is decided, it
+// adopts it and announces it to the voters of the old and the new view.
 func (r *Replica) handlePaxosReply(now time.Duration, kind string, b wire.PaxosMessage, out *machine.Output) {
 	r.adoptView(now, b.KnownView, out)
 	var requests []wire.PaxosMessage
--- a/core/replica/feed.go
+++ b/core/replica/feed.go
@@ -12,13 +12,14 @@
 // feedPublisher sends committed commands to the subscribers of the change feed.
 type feedPublisher struct {
 	subscribers map[string]subscriber // by address
-	// pendingSnapshots are updates with the whole state that wait for their commit.
+	// pendingSnapshots are updates with the whole state whose position is not committed yet,
+	// by the subscriber's address.
 	pendingSnapshots map[string]wire.FeedUpdate
-	// publishedIndex is the commit index that subscribers were last told.
+	// publishedIndex is the commit index that was last published.
 	publishedIndex uint64
 }
 
-// subscriber has all commands up to a position, unless messages to it were lost.
+// subscriber was sent all commands up to a position; messages to it may have been lost.
 type subscriber struct {
 	position  state.LogPosition
 	expiresAt time.Duration
@@ -39,7 +40,7 @@
 	}
 }
 
-// addresses are those of the subscribers, in order.
+// addresses returns the subscribers' addresses in sorted order.
 func (f *feedPublisher) addresses() []string {
 	addresses := make([]string, 0, len(f.subscribers))
 	for address := range f.subscribers {
@@ -60,9 +61,10 @@
 	}
 }
 
-// publishTo sends one subscriber what it lacks. Where the log's tail does not reach back
-// to its position, that is the whole state, which waits until all in it is committed.
-// Nothing is sent until then, since an empty update would say that it is up to date.
+// publishTo sends a subscriber the committed commands after its position. If the log's tail
+// does not reach back to that position, it sends a snapshot of the whole state instead, once
+// everything in the snapshot is committed. Until then nothing is sent, since an empty update
+// would tell the subscriber that it is up to date.
 func (f *feedPublisher) publishTo(address string, s subscriber, epoch uint64, log *replicatedLog, out *machine.Output) {
 	update := wire.FeedUpdate{Epoch: epoch, Previous: s.position, Position: s.position}
 	if commands, ok := log.tail.CommandsAfter(s.position); ok {
@@ -84,8 +86,8 @@
 	out.Send(address, wire.KindFeedUpdate, update)
 }
 
-// handleSubscribe begins or renews a subscription, on a confirmed primary only: it must
-// not send updates that a later primary contradicts.
+// handleSubscribe starts or renews a subscription. Only a confirmed primary accepts it, since
+// updates must not contradict those of a later primary.
 func (r *Replica) handleSubscribe(now time.Duration, from string, b wire.SubscribeRequest, out *machine.Output) {
 	if !r.LeadershipConfirmed(now) {
 		r.rejectSubscriber(from, b, out)
@@ -111,9 +113,9 @@
 	out.Send(to, wire.KindFeedUpdate, update)
 }
 
-// announcePrimary names the primary: a replica that loses its leadership to its
-// subscribers, a new primary to every process it knows, so that nobody has to find it by
-// trying all replicas.
+// announcePrimary announces the primary's address, so that other processes need not find it
+// by trying all replicas. A replica that is not the primary tells its subscribers; the
+// primary also tells every process in the membership list that is not a replica.
 func (r *Replica) announcePrimary(out *machine.Output) {
 	to := r.feed.addresses()
 	if r.isPrimary() {
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -1,18 +1,18 @@
-// Package replica keeps one copy of the replicated state machine (package state) and of
-// its log, as a state machine without I/O: Step takes one input and returns what to send,
-// write and answer.
+// Package replica maintains one copy of the replicated state machine (package state) and of
+// its log. It is itself a state machine without I/O: Step handles one input and returns the
+// messages to send and the batches to write.
 //
 // Replication is primary-backup. The members of a numbered view are its voters; one of
 // them is the primary, one or more others are its backups. The primary orders commands,
 // applies them and replicates them. A command's result is returned only once the command
-// is committed, that is once it is synced to the disk of the primary and to those of all
-// backups of the view. The remaining voters receive the log too, but are not waited for.
-// Reads wait for a confirmation by all backups, so a primary that was replaced without
+// is committed, that is once it is synced to the disks of the primary and of all backups of
+// the view. The remaining voters receive the log too, but commits do not wait for them.
+// Reads wait for a confirmation by all backups, so a primary that has been replaced without
 // knowing it returns no stale state.
 //
-// Views are decided by the voters with package paxos, one instance an epoch. Any primary
-// of the next view is the primary or a backup of this one and thus has all that was
-// committed; the backups of the next view have it before the view is proposed.
+// The voters decide each view with package paxos, one instance per epoch. The primary of the
+// next view is the primary or a backup of the current one and thus has every committed
+// command; the backups of the next view have them before the view is proposed.
 package replica
 
 import (
@@ -24,18 +24,19 @@
 	"sorrelloom/core/wire"
 )
 
-// Replica is one member of the cluster, or a spare that is in no view yet. Its methods
-// must not be called concurrently.
+// Replica is a member of the cluster, or a spare that no view contains yet. Its methods must
+// not be called concurrently.
 type Replica struct {
 	config Config
 	self   wire.Member
-	// identitySynced says that the identity of this replica is on its disk. Before that
-	// nobody may hear of it: a member whose identity is lost could never be reached again.
+	// identitySynced is set once the identity of this replica is on its disk. The identity
+	// must not be sent to anyone before that: if it were lost, others could count a member
+	// that can never be reached again.
 	identitySynced bool
-	// acceptor is this replica's part in deciding views; it holds the newest known view.
+	// acceptor is this replica's Paxos acceptor; it holds the newest known view.
 	acceptor paxos.Acceptor
 
-	// The log and what waits for its commands: for this disk, or for their commit.
+	// The log, and everything that waits until its commands are synced here or committed.
 	log      replicatedLog
 	disk     diskWriter
 	acks     []pendingAck
@@ -44,78 +45,80 @@
 	audit    auditQueue
 	feed     feedPublisher
 
-	// What is sent to the peers, and how far they are.
+	// Replication progress by peer, and the state of broadcasts.
 	peers       progressMap
 	replication replication
 
-	// Views: leading the current one, proposing the next, finding it, making the first.
+	// Views: serving as primary of the current one, proposing the next one, discovering newer
+	// ones and bootstrapping the first.
 	leadership leadership
 	election   election
 	discovery  discovery
 	bootstrap  bootstrap
 
-	// snapshotSource is the snapshot that is being sent to peers, incoming the one that
-	// is being received; nil if there is none.
+	// snapshotSource is the snapshot that is being sent to peers and incoming the one that is
+	// being received; either is nil if there is none.
 	snapshotSource *snapshotSource
 	incoming       *incomingTransfer
 
-	// recountDifferences is how many counts of a tenant's usage were found wrong.
+	// recountDifferences counts the tenants' usage counts that a recount found wrong.
 	recountDifferences uint64
 
-	startedAt time.Duration
+	startedAt   time.Duration
 	activeClock activeClock
-	// roleSince is when the current view was adopted or, on the primary, when it began
-	// to serve in it; without either since the start, the time of the first step.
+	// roleSince is when the current view was adopted or, on its primary, when it began to
+	// serve. It is the time of the first step if neither has happened since the start.
 	roleSince       time.Duration
 	wallClock       time.Time
 	stopping        bool
 	stopRequestedAt time.Duration
-	// regularTimer is when the next timer is due that no other input puts off.
+	// regularTimer is when the next periodic timer is due. Other inputs do not postpone it.
 	regularTimer time.Duration
 	nextTimer    time.Duration
 }
 
-// ID is the identity of this replica, which belongs to its disk.
+// ID returns the identity of this replica, which is bound to its disk.
 func (r *Replica) ID() string { return r.self.ID }
 
-// NextTimer is when the replica is to be stepped at the latest.
+// NextTimer returns the time by which the replica must be stepped.
 func (r *Replica) NextTimer() time.Duration { return r.nextTimer }
 
-// View is the newest view that this replica knows.
+// View returns the newest view that this replica knows.
 func (r *Replica) View() wire.View { return r.acceptor.KnownView }
 
-// Serving reports whether this replica is the primary and takes commands.
+// Serving reports whether this replica is the primary and accepts commands.
 func (r *Replica) Serving() bool { return r.leadership.serving }
 
-// Store is the state that the commands were applied to, the uncommitted ones included.
+// Store returns the state with all logged commands applied, including uncommitted ones.
 func (r *Replica) Store() *state.Store { return r.log.store }
 
-// Starting reports whether this process is the primary of the known view, but does not
-// serve yet.
+// Starting reports whether this process is the primary of the known view but does not serve
+// yet.
 func (r *Replica) Starting() bool {
 	return !r.leadership.serving && r.isPrimary() && r.view().BootID == r.config.BootID
 }
 
-// Resuming reports whether this replica keeps its leadership through a change of view and
-// waits for the new backups.
+// Resuming reports whether this replica remains primary across a view change and waits for
+// the new backups to catch up.
 func (r *Replica) Resuming() bool { return r.leadership.resuming }
 
-// Terms counts the times that this process began to serve without having kept its
-// leadership from the previous view.
+// Terms returns how often this process has begun to serve, without the times when it remained
+// primary across a view change.
 func (r *Replica) Terms() uint64 { return r.leadership.terms }
 
-// WritesIssued counts the disk writes issued so far.
+// WritesIssued returns the number of disk writes issued so far.
 func (r *Replica) WritesIssued() uint64 { return r.disk.lastWriteID }
 
-// Time is the state's time that a command would be given now.
+// Time returns the state time that a command applied now would get.
 func (r *Replica) Time(now time.Duration) time.Duration {
 	return r.leadership.storeTime + now - r.roleSince
 }
 
-// MemberAddresses are the addresses of the known view's voters.
+// MemberAddresses returns the addresses of the known view's voters.
 func (r *Replica) MemberAddresses() []string { return addresses(r.view().Voters) }
 
-// ReplicasAfter names the known view's voters if its epoch is above the given one.
+// ReplicasAfter returns the known view's voters if its epoch is above the given one, and an
+// empty list otherwise.
 func (r *Replica) ReplicasAfter(epoch uint64) wire.ReplicaList {
 	if r.view().Epoch <= epoch {
 		return wire.ReplicaList{}
@@ -123,15 +126,15 @@
 	return wire.ReplicaList{Epoch: r.view().Epoch, Addresses: r.MemberAddresses()}
 }
 
-// view is the newest known view, without a copy; it changes with adoptView.
+// view returns the newest known view without copying it; adoptView changes it.
 func (r *Replica) view() *wire.View { return &r.acceptor.KnownView }
 
 func (r *Replica) isPrimary() bool { return r.view().Primary.ID == r.self.ID }
 
 func (r *Replica) isBackup() bool { return paxos.ContainsMember(r.view().Backups, r.self.ID) }
 
-// Step takes one input at a time and returns what it causes. The time is that of the
-// process's own clock, which begins at its start.
+// Step handles one input and returns its effects. now is the process's monotonic time since
+// its start.
 func (r *Replica) Step(now time.Duration, in machine.Input) machine.Output {
 	var out machine.Output
 	if r.startedAt == 0 {
@@ -161,7 +164,7 @@
 	return out
 }
 
-// Flush writes and sends what commands submitted by the same process have changed.
+// Flush writes and sends the changes made by commands that the same process submitted.
 func (r *Replica) Flush(now time.Duration) machine.Output {
 	var out machine.Output
 	r.flush(now, &out)
@@ -198,8 +201,9 @@
 	}
 }
 
-// runTimers does what is due by time alone, at a timer or after another input, which puts no
-// timer off: some things are looked at in these only.
+// runTimers performs time-driven work. It runs after every input; isTimer is set if the input
+// was a timer. Other inputs do not postpone the periodic timer, since some checks run only
+// then.
 func (r *Replica) runTimers(now time.Duration, isTimer bool, out *machine.Output) {
 	interrupted := r.config.Phases.Enter(machine.PhaseTimers)
 	defer r.config.Phases.Enter(interrupted)
@@ -228,21 +232,22 @@
 	}
 }
 
-// mayHaveMissedView reports whether there may be a newer view than the known one: its primary
-// is silent, or is this replica and hears no majority, or this replica is no voter.
+// mayHaveMissedView reports whether a newer view than the known one may exist: the primary is
+// silent, this replica is the primary and hears no majority, or it is not a voter.
 func (r *Replica) mayHaveMissedView(now time.Duration) bool {
 	silentPrimary := now-r.peers.heardAt(r.view().Primary.ID) > 2*suspectTimeout
 	return silentPrimary || r.isPrimary() && !r.hearsMajority(now) ||
 		!paxos.ContainsMember(r.view().Voters, r.self.ID)
 }
 
-// flush writes what changed since the last batch and, on the primary, sends the new
-// commands along at the same moment.
+// flush writes the changes since the last batch and, on the primary, broadcasts the new
+// commands at the same time.
 func (r *Replica) flush(now time.Duration, out *machine.Output) {
 	interrupted := r.config.Phases.Enter(machine.PhaseReplicate)
 	defer r.config.Phases.Enter(interrupted)
 	if r.leadership.serving && !r.stopping {
-		// What arrives within the interval goes out as one message to each peer and one write.
+		// Commands that arrive within the interval are sent to each peer in one message and
+		// written in one batch.
 		if next := r.leadership.flushedAt + batchInterval; now < next {
 			r.nextTimer = min(r.nextTimer, next)
 			r.releaseCommitted(out)
@@ -268,7 +273,7 @@
 	out.Writes = append(out.Writes, r.disk.begin(now, r.log.store, r.election.candidateEpoch))
 }
 
-// addresses are those of some members, in the same order.
+// addresses returns the members' addresses in the same order.
 func addresses(members []wire.Member) []string {
 	out := make([]string, 0, len(members))
 	for _, member := range members {
