--- a/core/replica/bootstrap_test.go
+++ b/core/replica/bootstrap_test.go
@@ -80,12 +80,12 @@
 func (c *bootstrapCluster) checkBootstrapped(losses int) {
 	c.t.Helper()
 	if took, ok := c.waitForAnswer(bootstrapBound); !ok {
-		c.t.Errorf("no answer %s after the start", took)
+		c.t.Errorf("no write answered %s after the start", took)
 		return
 	}
 	c.advance(time.Second)
 	if p := c.primary(); p == nil || len(p.replica.View().Backups) != losses {
-		c.t.Errorf("not %d backups", losses)
+		c.t.Errorf("the view does not have %d backups", losses)
 	}
 	c.checkAnswered()
 }
--- a/core/replica/catchup_test.go
+++ b/core/replica/catchup_test.go
@@ -38,7 +38,7 @@
 	t.Logf("%d commands missed, caught up after %s, %d messages and %d bytes, the largest %d",
 		missed, took, sent.messages[wire.KindReplicate+" to c"], sent.bytes["c"], sent.largest)
 	if !ok || took > time.Second {
-		t.Errorf("caught up after %s: %v\n%s", took, ok, c.recentLog(30))
+		t.Errorf("catch-up took %s, caught up: %v\n%s", took, ok, c.recentLog(30))
 	}
 	most := missed*250 + 100<<10
 	if sent.bytes["c"] > most || sent.largest > maxWindowBytes+4096 || sent.snapshotChunks() > 0 {
@@ -63,10 +63,10 @@
 	from := c.now
 	c.submitTicks(2000)
 	took, ok := c.waitForCatchUp(voter, 5*time.Second)
-	t.Logf("caught up %s after it came back, %d chunks, %d messages, %d bytes", c.now-from,
+	t.Logf("caught up %s after its return, %d chunks, %d messages, %d bytes", c.now-from,
 		sent.messages[wire.KindSnapshotChunk+" to c"], sent.messages[wire.KindReplicate+" to c"], sent.bytes["c"])
 	if !ok || sent.snapshotChunks() == 0 || sent.bytes["c"] > 1<<20 || sent.largest > maxWindowBytes+4096 {
-		t.Errorf("caught up after %s: %v, %d snapshot chunks, %d bytes, the largest message has %d\n%s",
+		t.Errorf("catch-up took %s, caught up: %v, %d snapshot chunks, %d bytes, the largest message has %d\n%s",
 			took, ok, sent.snapshotChunks(), sent.bytes["c"], sent.largest, c.recentLog(30))
 	}
 	c.checkSameState(voter)
@@ -96,7 +96,7 @@
 	took, ok := c.waitForCatchUp(voter, 5*time.Second)
 	t.Logf("caught up after %s, %d chunks, %d bytes", took, sent.messages[wire.KindSnapshotChunk+" to c"], sent.bytes["c"])
 	if !ok || sent.bytes["c"] > 1<<20 {
-		t.Errorf("caught up after %s: %v, %d bytes\n%s", took, ok, sent.bytes["c"], c.recentLog(30))
+		t.Errorf("catch-up took %s, caught up: %v, %d bytes\n%s", took, ok, sent.bytes["c"], c.recentLog(30))
 	}
 	c.checkSameState(voter)
 	c.checkAnswered()
@@ -117,11 +117,11 @@
 		c.kill(c.primary())
 		took, ok := c.waitForAnswer(8 * time.Second)
 		if !ok || took > 3*time.Second {
-			t.Errorf("%s after it came back: served again after %s: %v\n%s", after, took, ok, c.recentLog(30))
+			t.Errorf("%s after its return: next answer after %s, answered: %v\n%s", after, took, ok, c.recentLog(30))
 			continue
 		}
 		if sent.snapshotChunks() > 0 {
-			t.Errorf("%s after it came back: %d snapshot chunks\n%s", after, sent.snapshotChunks(), c.recentLog(30))
+			t.Errorf("%s after its return: %d snapshot chunks\n%s", after, sent.snapshotChunks(), c.recentLog(30))
 		}
 		c.checkSameState(c.host("c"))
 		c.checkAnswered()
@@ -173,7 +173,7 @@
 			c.start(h)
 		}
 		if took, ok := c.waitForAnswer(8 * time.Second); !ok {
-			t.Errorf("snapshot %v: served again after %s\n%s", snapshot, took, c.recentLog(30))
+			t.Errorf("snapshot %v: no write answered after %s\n%s", snapshot, took, c.recentLog(30))
 		}
 		c.checkSameState(c.host("c"))
 		if sent.snapshotChunks() > 0 {
@@ -231,7 +231,7 @@
 		old.isolated = true
 		sent := recordTraffic(c)
 		if took, ok := c.waitForAnswer(8 * time.Second); !ok || c.primary() == old {
-			t.Fatalf("suffix %d: served again after %s: %v\n%s", suffix, took, ok, c.recentLog(30))
+			t.Fatalf("suffix %d: next answer after %s, answered: %v\n%s", suffix, took, ok, c.recentLog(30))
 		}
 		if backup.replica.log.position().Epoch <= diverged.Epoch || voter.replica.log.tail.Contains(diverged) {
 			t.Errorf("suffix %d: the voter has not diverged at %v", suffix, diverged)
@@ -252,7 +252,7 @@
 			c.start(h)
 		}
 		if took, ok := c.waitForAnswer(8 * time.Second); !ok {
-			t.Errorf("suffix %d, after a power loss: served again after %s\n%s", suffix, took, c.recentLog(30))
+			t.Errorf("suffix %d, after a power loss: no write answered after %s\n%s", suffix, took, c.recentLog(30))
 		}
 		c.checkSameState(voter)
 		c.checkSameState(old)
--- a/core/replica/cluster_checks_test.go
+++ b/core/replica/cluster_checks_test.go
@@ -43,7 +43,7 @@
 	c.t.Helper()
 	took, ok := c.waitForAnswer(max(bound, 12*time.Second))
 	if !ok || took > bound {
-		c.t.Errorf("%s: served again after %s: %v\n%s", what, took, ok, c.recentLog(60))
+		c.t.Errorf("%s: next answer after %s, answered: %v\n%s", what, took, ok, c.recentLog(60))
 	}
 	c.checkAnswered()
 	return took
--- a/core/replica/commands_test.go
+++ b/core/replica/commands_test.go
@@ -95,13 +95,13 @@
 				t.Errorf("the state was changed: %v", changed)
 			}
 			if rejected := len(replies) > 0; rejected != row.rejected {
-				t.Fatalf("replied at once: %+v", replies)
+				t.Fatalf("immediate replies: %+v", replies)
 			}
 			if !row.rejected {
 				return
 			}
 			if b := replies[0]; b.ID != 2 || b.Result.Code != status.QueueFull || b.Result.RetryAfter < minRetryAfter {
-				t.Errorf("%+v", b)
+				t.Errorf("unexpected rejection: %+v", b)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 	replies := d.send(time.Millisecond, request)
 	if len(replies) != 1 || !replies[0].Received || replies[0].ID != 7 ||
 		replies[0].Result.Code != status.ReplicasUnavailable {
-		t.Fatalf("at once: %+v", replies)
+		t.Fatalf("immediate replies: %+v", replies)
 	}
 	confirmation := d.leader.commands.pending[len(d.leader.commands.pending)-1].body
 	if confirmation.Received || confirmation.Result.Code != status.OK ||
--- a/core/replica/disk_test.go
+++ b/core/replica/disk_test.go
@@ -68,7 +68,7 @@
 		ok   bool
 	}{{"never issued", id + 1, false}, {"in flight", id, true}, {"twice", id, false}, {"zero", 0, false}} {
 		if _, ok := d.complete(row.id); ok != row.ok {
-			t.Errorf("%s: %v", row.name, ok)
+			t.Errorf("%s: complete returned %v", row.name, ok)
 		}
 	}
 	if d.busy() || d.nothingToWrite() {
--- a/core/replica/failover_test.go
+++ b/core/replica/failover_test.go
@@ -28,7 +28,7 @@
 				c.start(c.host(pair[1:]))
 				took, ok := c.waitForAnswer(15 * time.Second)
 				if !ok || took > 4*time.Second {
-					t.Errorf("served again after %s: %v\n%s", took, ok, c.recentLog(30))
+					t.Errorf("next answer after %s, answered: %v\n%s", took, ok, c.recentLog(30))
 				}
 				c.advance(time.Second)
 				c.checkAnswered()
@@ -55,7 +55,7 @@
 		c.host(row.voter).isolated = false
 		c.start(c.host(row.primary))
 		if took, ok := c.waitForAnswer(12 * time.Second); !ok || took > 4*time.Second {
-			t.Errorf("%s leads, %s is behind: served again after %s: %v\n%s",
+			t.Errorf("%s leads, %s is behind: next answer after %s, answered: %v\n%s",
 				row.primary, row.voter, took, ok, c.recentLog(30))
 		}
 		c.checkAnswered()
@@ -241,7 +241,7 @@
 			votes, len(c.answered)-answered, c.recentLog(40))
 	}
 	c.host("a").isolated = false
-	c.checkServes("nobody is isolated", failoverBound)
+	c.checkServes("no host is isolated", failoverBound)
 }
 
 // TestLeavingPrimaryHoldsNewestEntry stops and removes the primary while a write is being
--- a/core/replica/feed_test.go
+++ b/core/replica/feed_test.go
@@ -82,14 +82,14 @@
 		log.syncedIndex = 6
 		dropped, ok := log.rewind(at(row.to))
 		if ok != row.ok || dropped != row.dropped {
-			t.Errorf("to %d: dropped %d, %v", row.to, dropped, ok)
+			t.Errorf("rewind to %d: dropped %d, ok %v", row.to, dropped, ok)
 		}
 		want, synced := at(8), uint64(6)
 		if row.ok {
 			want, synced = at(row.to), min(6, row.to)
 		}
 		if log.position() != want || log.syncedIndex != synced {
-			t.Errorf("to %d: at %v, synced %d", row.to, log.position(), log.syncedIndex)
+			t.Errorf("rewind to %d: at %v, synced %d", row.to, log.position(), log.syncedIndex)
 		}
 	}
 }
--- a/core/replica/membership_test.go
+++ b/core/replica/membership_test.go
@@ -48,13 +48,13 @@
 			}
 			took, ok := c.waitForMembership(h, 12*time.Second)
 			if worst = max(worst, took); !ok || took > row.bound {
-				t.Errorf("%s lost, an empty replica at %s after %s: a member after %s: %v\n%s",
+				t.Errorf("%s lost, an empty replica at %s after %s: time to membership %s, member: %v\n%s",
 					row.lost, row.at, row.after, took, ok, c.recentLog(12))
 				break
 			}
 			c.checkAnswered()
 		}
-		t.Logf("%s lost, an empty replica at %s after %s: a member after at most %s",
+		t.Logf("%s lost, an empty replica at %s after %s: time to membership at most %s",
 			row.lost, row.at, row.after, worst)
 	}
 }
@@ -73,9 +73,10 @@
 	n := c.add("n")
 	took, ok := c.waitForMembership(n, 10*time.Second)
 	chunks := sent.messages[wire.KindSnapshotChunk+" to n"]
-	t.Logf("a member after %s, %d chunks, %d bytes", took, chunks, sent.bytes["n"])
+	t.Logf("time to membership %s, %d chunks, %d bytes", took, chunks, sent.bytes["n"])
 	if !ok || took > 3*time.Second || chunks < 3 || chunks > 8 || sent.bytes["n"] > 1<<20 {
-		t.Errorf("a member after %s: %v, %d chunks, %d bytes\n%s", took, ok, chunks, sent.bytes["n"], c.recentLog(30))
+		t.Errorf("time to membership %s, member: %v, %d chunks, %d bytes\n%s",
+			took, ok, chunks, sent.bytes["n"], c.recentLog(30))
 	}
 	c.checkSameState(n)
 	c.checkAnswered()
--- a/core/replica/overload_test.go
+++ b/core/replica/overload_test.go
@@ -20,7 +20,7 @@
 		d.observe(time.Second, acceptableWait+1)
 		retryAfter, admitted := d.admit(time.Second + overloadDelay)
 		if admitted || retryAfter != row.want {
-			t.Errorf("%d admitted, %d rejected: %v, after %s, not %s",
+			t.Errorf("%d admitted, %d rejected: next job admitted %v, retry after %s, want %s",
 				row.admitted, row.rejected, admitted, retryAfter, row.want)
 		}
 	}
--- a/core/replica/power_sweep_test.go
+++ b/core/replica/power_sweep_test.go
@@ -148,7 +148,7 @@
 	if runs < samples {
 		t.Errorf("only %d runs for %d steps", runs, *steps)
 	}
-	t.Logf("%d power losses during %d steps: served again after at most %s", runs, *steps, worst)
+	t.Logf("%d power losses during %d steps: next answer after at most %s", runs, *steps, worst)
 }
 
 // losePowerAt runs a scenario with a power loss after the given step, and returns the time from
@@ -169,7 +169,7 @@
 	}
 	took, ok := c.waitForAnswer(8 * time.Second)
 	if !ok || took > sweepBound {
-		c.t.Errorf("served again after %s: %v\n%s", took, ok, c.recentLog(40))
+		c.t.Errorf("next answer after %s, answered: %v\n%s", took, ok, c.recentLog(40))
 	}
 	c.checkAnswered()
 	c.advance(500 * time.Millisecond)
--- a/core/replica/random_faults_test.go
+++ b/core/replica/random_faults_test.go
@@ -113,7 +113,7 @@
 	}
 	f.endFaults()
 	if took, ok := c.waitForAnswer(12 * time.Second); !ok || took > 8*time.Second {
-		c.t.Errorf("served again after %s: %v", took, ok)
+		c.t.Errorf("next answer after %s, answered: %v", took, ok)
 	}
 	c.advance(2 * time.Second)
 	c.checkAnswered()
--- a/core/replica/replicate_receive.go
+++ b/core/replica/replicate_receive.go
@@ -56,7 +56,7 @@
 
 // rejectStaleSender rejects messages from an old epoch and from senders that are neither the
 // primary nor a backup of the known view, and reports whether it did. The primary of the known
-// view accepts nobody's log: only the primary extends the history of its epoch.
+// view accepts no other log: only the primary extends the history of its epoch.
 func (r *Replica) rejectStaleSender(
 	now time.Duration, from string, view wire.View, sender wire.Member, bootID, sendID uint64, out *machine.Output,
 ) bool {
--- a/core/replica/snapshot_test.go
+++ b/core/replica/snapshot_test.go
@@ -75,7 +75,7 @@
 		t.Logf("seed %d: caught up after %s with %d chunks, the largest message has %d bytes",
 			seed, took, chunks, sent.largest)
 		if !ok || chunks < 8 || chunks > 40 || sent.largest > maxChunkBytes+8192 {
-			t.Errorf("seed %d: caught up after %s: %v, %d chunks, largest %d\n%s",
+			t.Errorf("seed %d: catch-up took %s, caught up: %v, %d chunks, largest %d\n%s",
 				seed, took, ok, chunks, sent.largest, c.recentLog(30))
 		}
 		if n := c.events["snapshot_corrupt"]; n > 0 {
@@ -114,13 +114,13 @@
 		c.advance(500 * time.Millisecond)
 		c.start(old)
 		if took, ok := c.waitForAnswer(10 * time.Second); !ok {
-			t.Errorf("chunk %d: served again after %s\n%s", killAt, took, c.recentLog(40))
+			t.Errorf("chunk %d: no write answered after %s\n%s", killAt, took, c.recentLog(40))
 		}
 		for _, message := range late {
 			c.step(voter, machine.Input{Message: message})
 		}
 		if took, ok := c.waitForCatchUp(voter, 10*time.Second); !ok {
-			t.Errorf("chunk %d: caught up after %s\n%s", killAt, took, c.recentLog(40))
+			t.Errorf("chunk %d: not caught up after %s\n%s", killAt, took, c.recentLog(40))
 		}
 		for _, message := range late {
 			c.step(voter, machine.Input{Message: message})
--- a/core/replica/two_losses_test.go
+++ b/core/replica/two_losses_test.go
@@ -60,7 +60,7 @@
 					c.lose(c.host(pair[1]), lost)
 					took, ok := c.waitForAnswer(8 * time.Second)
 					if worst = max(worst, took); !ok || took > 3*time.Second {
-						t.Fatalf("%v lost: served again after %s: %v\n%s", pair, took, ok, c.recentLog(40))
+						t.Fatalf("%v lost: next answer after %s, answered: %v\n%s", pair, took, ok, c.recentLog(40))
 					}
 					c.advance(4 * time.Second)
 					c.checkAnswered()
@@ -74,7 +74,7 @@
 						t.Fatalf("%v lost\n%s", pair, c.recentLog(40))
 					}
 				}
-				t.Logf("served again after at most %s", worst)
+				t.Logf("next answer after at most %s", worst)
 			})
 		}
 	}
@@ -96,7 +96,7 @@
 			}
 		}
 		if took, ok := c.waitForAnswer(8 * time.Second); !ok || took > 3*time.Second {
-			t.Errorf("without %v: served again after %s: %v\n%s", pair, took, ok, c.recentLog(40))
+			t.Errorf("without %v: next answer after %s, answered: %v\n%s", pair, took, ok, c.recentLog(40))
 		}
 		c.advance(time.Second)
 		c.checkAnswered()
@@ -122,7 +122,7 @@
 				c.advance(pause / 4)
 			}
 			if took, ok := c.waitForAnswer(8 * time.Second); !ok || took > 3*time.Second {
-				t.Errorf("%v empty, %s: served again after %s: %v\n%s", pair, pause, took, ok, c.recentLog(40))
+				t.Errorf("%v empty, %s: next answer after %s, answered: %v\n%s", pair, pause, took, ok, c.recentLog(40))
 			}
 			c.advance(time.Second)
 			c.checkAnswered()
