--- a/core/replica/commands.go
+++ b/core/replica/commands.go
@@ -283,8 +283,8 @@
 func (r *Replica) executeHeld(now time.Duration, out *machine.Output) {
 	held := r.commands.held
 	r.commands.held = nil
-	for _, w := range held {
-		r.handleCommand(now, w.from, w.body, out)
+	for _, h := range held {
+		r.handleCommand(now, h.from, h.body, out)
 	}
 }
 
@@ -304,8 +304,8 @@
 	for _, p := range r.commands.pending {
 		r.commands.reply(p.to, r.notPrimaryReply(p.body.ID), out)
 	}
-	for _, w := range r.commands.held {
-		r.commands.reply(w.from, r.notPrimaryReply(w.body.ID), out)
+	for _, h := range r.commands.held {
+		r.commands.reply(h.from, r.notPrimaryReply(h.body.ID), out)
 	}
 	r.commands.pending, r.commands.held = nil, nil
 }
