--- a/daemon/host/late_completion_test.go
+++ b/daemon/host/completion_order_test.go
@@ -8,16 +8,17 @@
 	"sorrelloom/daemon/storage"
 )
 
-// TestDiskTakenForSlowByALateProcess has a write complete and a timer expire during one long
-// step: the machine must hear of the write first.
-func TestDiskTakenForSlowByALateProcess(t *testing.T) {
+// TestCompletedWritePrecedesExpiredTimer completes a write and lets a timer expire during one
+// long step. The machine must be told of the write before the timer, or it would take the
+// disk for slow.
+func TestCompletedWritePrecedesExpiredTimer(t *testing.T) {
 	store, _, err := storage.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const longStep = 200 * time.Millisecond
 	r := &recorder{}
-	after := make(chan uint64, 1)
+	nextInput := make(chan uint64, 1)
 	busy := false
 	r.do = func(now time.Duration, in machine.Input) (out machine.Output) {
 		switch {
@@ -28,7 +29,7 @@
 			time.Sleep(longStep)
 		case busy:
 			busy, r.timerAt = false, 0
-			after <- in.CompletedWrite
+			nextInput <- in.CompletedWrite
 		}
 		return out
 	}
@@ -42,7 +43,7 @@
 		runner.step(machine.Input{Request: machine.Request{ID: 1, Name: "write"}})
 		runner.step(machine.Input{Request: machine.Request{ID: 2, Name: "busy"}})
 	})
-	if completed := <-after; completed != 7 {
-		t.Errorf("after the long step the machine is stepped with the write %d", completed)
+	if completed := <-nextInput; completed != 7 {
+		t.Errorf("after the long step, the machine was told of write %d, want 7", completed)
 	}
 }
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -1,10 +1,10 @@
-// Package host runs state machines: it feeds them messages, requests, completed writes and
-// timers, and does what they return.
+// Package host runs state machines: it passes them messages, requests, completed writes and
+// expired timers, and executes the outputs that they return.
 //
-// A host has one or more machines, each with a Runner. One goroutine steps all of them and
-// takes the waiting inputs in the order of their priority, so that a machine needs no
-// locks. Writes are done by a goroutine per runner. The time that machines see is
-// monotonic and counts from the start of the process.
+// A host has one or more machines, each with a Runner. A single goroutine steps all of them
+// and takes pending inputs in the order of their priority, so that machines need no locks.
+// Each runner has a goroutine for its writes. The time that machines see is monotonic and
+// starts at 0 when the host is created.
 package host
 
 import (
@@ -18,16 +18,16 @@
 	"sorrelloom/daemon/transport"
 )
 
-// idleTimeout is how long the host waits for an input when no machine has a timer.
+// idleTimeout is how long the host waits for an input when no timer is set.
 const idleTimeout = time.Hour
 
-// WriteErrorHandler is called with the error of a write that failed. The runner writes
-// nothing more, so that the process should end.
+// WriteErrorHandler is called with the error of a failed write. The runner executes no
+// further writes, so the process should exit.
 type WriteErrorHandler func(err error)
 
 // Host runs the machines of one process.
 type Host struct {
-	// OnAuditEntry is called with each audit entry, if it is set. Set it before Run.
+	// OnAuditEntry, if set, is called with each audit entry. It must be set before Run.
 	OnAuditEntry func(machine.AuditEntry)
 
 	address      string
@@ -47,8 +47,8 @@
 	closed   chan struct{}
 }
 
-// New creates a host without machines, for a process that others reach at address and
-// that listens on listen. The store is nil if no machine writes.
+// New creates a host without machines. Other processes reach it at address; it listens on
+// listen. The store may be nil if no machine writes.
 func New(address, listen string, store *storage.Store, onWriteError WriteErrorHandler) *Host {
 	h := &Host{
 		address: address, listen: listen, started: time.Now(), store: store, onWriteError: onWriteError,
@@ -60,20 +60,20 @@
 	return h
 }
 
-// Phases is the meter of the phases of steps, for machines that tell them apart.
+// Phases returns the meter that machines use to attribute the time of their steps to phases.
 func (h *Host) Phases() *machine.PhaseMeter { return h.load.phases }
 
-// Figures are what a host tells of itself to those who operate it, since its start.
+// Figures are metrics of a host since its start.
 type Figures struct {
 	Load   Load
 	Frames transport.Counts
 }
 
-// Figures returns the figures as they are now.
+// Figures returns the current metrics.
 func (h *Host) Figures() Figures { return Figures{h.load.Total(), h.counters.Totals()} }
 
-// Add adds a machine that receives the messages of these kinds or, if none is given, all
-// that no other machine receives. All machines are added before Run.
+// Add adds a machine that receives the messages of the given kinds or, without any, all
+// messages that no other machine receives. Machines must be added before Run.
 func (h *Host) Add(m machine.Machine, kinds ...string) *Runner {
 	r := &Runner{host: h, machine: m, kinds: map[string]bool{}, writes: make(chan machine.Write, maxPendingWrites)}
 	for _, kind := range kinds {
@@ -83,7 +83,8 @@
 	return r
 }
 
-// Run listens, and returns once every machine has been stepped for the first time.
+// Run listens and starts the event loop. It returns once every machine has been stepped for
+// the first time.
 func (h *Host) Run() error {
 	t, err := transport.Open(h.listen, h.Now, h.receiveQueue, h.counters)
 	if err != nil {
@@ -108,12 +109,13 @@
 	return nil
 }
 
-// Now returns the monotonic time since the start of the process.
+// Now returns the monotonic time since the host was created.
 func (h *Host) Now() time.Duration { return time.Since(h.started) }
 
 // eventLoop steps the machines until the host is closed. Completed writes and messages of
-// other cluster members are handled before timers: a machine that is late must not take its
-// disk for slow, or itself for cut off, while what says otherwise is waiting.
+// other cluster members are handled before timers. Otherwise a process that has fallen behind
+// could time out on its disk or on its peers while the write or message that prevents the
+// timeout is already in the queue.
 func (h *Host) eventLoop() {
 	for !isClosed(h.closed) {
 		item, ok := h.receiveQueue.DequeueBeforeTimers()
@@ -130,7 +132,7 @@
 	}
 }
 
-// logLoad logs the load of every interval in which the process was busy.
+// logLoad logs the load of each interval in which the process was busy.
 func (h *Host) logLoad() {
 	ticker := time.NewTicker(loadLogInterval)
 	defer ticker.Stop()
@@ -147,7 +149,7 @@
 }
 
 // fireTimers steps the machines whose timers have expired, and returns the time until the
-// next timer.
+// next timer expires.
 func (h *Host) fireTimers() time.Duration {
 	now := h.Now()
 	next := now + idleTimeout
@@ -178,10 +180,10 @@
 	}
 }
 
-// Stopped is closed once a machine has reported that it has stopped.
+// Stopped returns a channel that is closed once a machine has reported that it has stopped.
 func (h *Host) Stopped() <-chan struct{} { return h.stopped }
 
-// Close ends the host. It may be called once.
+// Close stops the host. It must be called at most once.
 func (h *Host) Close() {
 	close(h.closed)
 	h.receiveQueue.Close()
@@ -189,7 +191,8 @@
 		h.transport.Close()
 	}
 	if h.store != nil {
-		// The process ends, and what was reported as written is durable.
+		// The error doesn't matter: the process is exiting, and all writes reported as
+		// completed are durable.
 		_ = h.store.Close()
 	}
 }
--- a/daemon/host/host_test.go
+++ b/daemon/host/host_test.go
@@ -13,7 +13,7 @@
 	"sorrelloom/daemon/transport"
 )
 
-// recorder is a machine that records its steps and lets a test decide their outputs.
+// recorder is a machine that records its steps and returns outputs chosen by the test.
 type recorder struct {
 	steps   []string
 	timerAt time.Duration
@@ -35,7 +35,7 @@
 	return machine.Output{}
 }
 
-// start runs a host in whose receive queue nothing expires.
+// start runs a host with a receive queue in which nothing expires.
 func start(t *testing.T, r *recorder) (*Host, *Runner) {
 	t.Helper()
 	h := New("me", "127.0.0.1:0", nil, nil)
@@ -48,8 +48,9 @@
 	return h, runner
 }
 
-// TestClusterMessageIsTheNextStep has requests wait while a step is in progress.
-func TestClusterMessageIsTheNextStep(t *testing.T) {
+// TestClusterMessagePrecedesRequests enqueues requests and a cluster message during a step. The
+// cluster message must be handled first.
+func TestClusterMessagePrecedesRequests(t *testing.T) {
 	const requests = 5000
 	r := &recorder{}
 	h, runner := start(t, r)
@@ -98,9 +99,9 @@
 		if waiting = append(waiting, in.Request); len(waiting) == 3 {
 			for _, request := range []machine.Request{waiting[2], waiting[0], waiting[1]} {
 				out.Respond(request.ID, "answer to "+request.Name)
-				out.Respond(request.ID, "one too many")
+				out.Respond(request.ID, "second response")
 			}
-			out.Respond(1000, "nobody's")
+			out.Respond(1000, "unknown request")
 		}
 		return out
 	}
@@ -135,13 +136,14 @@
 	for range 3 {
 		now := <-times
 		if now < last+5*time.Millisecond {
-			t.Errorf("a step at %s follows the one at %s", now, last)
+			t.Errorf("a timer step at %s follows one at %s", now, last)
 		}
 		last = now
 	}
 }
 
-// TestMessageToSelfIsDelivered decodes such a message like any other.
+// TestMessageToSelfIsDelivered checks that messages to the own address are encoded and
+// decoded like any others.
 func TestMessageToSelfIsDelivered(t *testing.T) {
 	r := &recorder{}
 	got := make(chan wire.SubscribeRequest, 2)
@@ -170,14 +172,14 @@
 	}
 }
 
-func TestClosedHostReleasesWaiters(t *testing.T) {
+func TestClosedHostFailsPendingRequests(t *testing.T) {
 	r := &recorder{}
 	h := New("me", "127.0.0.1:0", nil, nil)
 	runner := h.Add(r)
 	if err := h.Run(); err != nil {
 		t.Fatal(err)
 	}
-	asked := make(chan error)
+	failed := make(chan error)
 	begun := make(chan struct{})
 	r.do = func(time.Duration, machine.Input) machine.Output {
 		close(begun)
@@ -185,15 +187,15 @@
 	}
 	go func() {
 		_, err := runner.Do(context.Background(), machine.Request{Name: "never answered"})
-		asked <- err
+		failed <- err
 	}()
 	<-begun
 	h.Close()
-	if err := <-asked; !errors.Is(err, ErrClosed) {
-		t.Errorf("it ends with %v", err)
+	if err := <-failed; !errors.Is(err, ErrClosed) {
+		t.Errorf("got %v, want ErrClosed", err)
 	}
 	runner.Step(machine.Input{})
 	if _, err := runner.Do(context.Background(), machine.Request{}); !errors.Is(err, ErrClosed) {
-		t.Errorf("a closed host ends with %v", err)
+		t.Errorf("closed host: got %v, want ErrClosed", err)
 	}
 }
--- a/daemon/host/load.go
+++ b/daemon/host/load.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// longStep is the length from which on a step is logged, and longStepLogInterval the
-	// time within which at most one is.
+	// longStep is the minimum duration of a step that is logged, and longStepLogInterval the
+	// minimum time between two such log lines.
 	longStep            = 100 * time.Millisecond
 	longStepLogInterval = time.Second
-	// loadLogInterval is how often the load of a busy process is logged, and busyShare the
-	// share of the time in steps from which on it is one.
+	// loadLogInterval is how often the load of a busy process is logged. A process is busy if
+	// it spends at least busyShare of the time in steps.
 	loadLogInterval = 10 * time.Second
 	busyShare       = 0.5
 )
 
-// The kinds of inputs that are no messages, in logs and metrics.
+// Names of inputs that are not messages, in logs and metrics.
 const (
 	inputWrite   = "write"
 	inputRequest = "request"
@@ -32,7 +32,8 @@
 	inputTimer   = "timer"
 )
 
-// inputKind names the kind of an input; that of a message is its own.
+// inputKind returns the name of an input's kind; for a message, this is the message's own
+// kind.
 func inputKind(in machine.Input) string {
 	switch {
 	case in.Message.Kind != "":
@@ -47,15 +48,15 @@
 	return inputTimer
 }
 
-// Steps counts the steps of one kind of input, and the time that they took.
+// Steps counts the steps for one kind of input and the time they took.
 type Steps struct {
 	Count          uint64
 	Total, Longest time.Duration
 }
 
-// Load is what the steps of a process took within a time.
+// Load is the time that a process spent in steps.
 type Load struct {
-	// Inputs are the steps by the kind of their input.
+	// Inputs holds the steps by the kind of their input.
 	Inputs map[string]Steps
 	Phases machine.PhaseTimes
 }
@@ -79,7 +80,8 @@
 	return []any{"phases", formatPhases(l.Phases), "steps", strings.Join(inputs, ",")}
 }
 
-// formatPhases lists phase:milliseconds, the longest first, without those under one.
+// formatPhases lists phases as phase:milliseconds, the longest first. Phases below a
+// millisecond are left out.
 func formatPhases(times machine.PhaseTimes) string {
 	var phases []machine.Phase
 	for phase := range machine.PhaseCount {
@@ -95,11 +97,11 @@
 	return strings.Join(parts, ",")
 }
 
-// loadMeter measures the steps of all machines of a process.
+// loadMeter measures the steps of all machines in a process.
 type loadMeter struct {
 	phases *machine.PhaseMeter
 
-	// longStepLoggedAt is used by the event loop alone.
+	// longStepLoggedAt is only used by the event loop.
 	longStepLoggedAt time.Duration
 
 	mu            sync.Mutex
@@ -112,7 +114,7 @@
 	return &loadMeter{phases: machine.NewPhaseMeter(now), interval: newLoad(), total: newLoad()}
 }
 
-// endStep counts a step that began with BeginStep, and logs it if it was long.
+// endStep records a step that was started by BeginStep, and logs it if it was long.
 func (m *loadMeter) endStep(now time.Duration, in machine.Input) {
 	times := m.phases.EndStep()
 	took, kind := times.Total(), inputKind(in)
@@ -126,8 +128,8 @@
 	}
 }
 
-// takeInterval returns the load since it was last called, and the share of that time that
-// was spent in steps.
+// takeInterval returns the load since its last call, and the share of that time that was
+// spent in steps.
 func (m *loadMeter) takeInterval(now time.Duration) (Load, float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/daemon/host/load_test.go
+++ b/daemon/host/load_test.go
@@ -21,12 +21,12 @@
 		{machine.Input{WallTime: time.Now()}, inputTimer},
 	} {
 		if got := inputKind(row.in); got != row.want {
-			t.Errorf("%+v is %q, not %q", row.in, got, row.want)
+			t.Errorf("%+v: got %q, want %q", row.in, got, row.want)
 		}
 	}
 }
 
-// TestLoadOfAnInterval has steps of two kinds, with phases, in two intervals.
+// TestLoadOfAnInterval measures steps of two kinds with several phases over two intervals.
 func TestLoadOfAnInterval(t *testing.T) {
 	now := time.Duration(0)
 	meter := newLoadMeter(func() time.Duration { return now })
@@ -44,7 +44,7 @@
 	now = 80 * time.Millisecond
 	load, share := meter.takeInterval(now)
 	if share != 0.5 {
-		t.Errorf("it was busy for %v of the time", share)
+		t.Errorf("got the busy share %v, want 0.5", share)
 	}
 	const want = "[phases schedule:35,receive:5 steps beat:2/10/7,timer:1/30/30]"
 	if got := fmt.Sprint(load.fields()); got != want {
@@ -53,15 +53,15 @@
 	step(heartbeat, 0, 20*time.Millisecond)
 	load, share = meter.takeInterval(now)
 	if load.Inputs[wire.KindHeartbeat] != (Steps{1, 20 * time.Millisecond, 20 * time.Millisecond}) || share != 1 {
-		t.Errorf("the second interval is %+v, busy for %v", load, share)
+		t.Errorf("second interval: %+v, busy share %v", load, share)
 	}
 	if total := meter.Total(); total.Inputs[wire.KindHeartbeat].Count != 3 ||
 		total.Phases[machine.PhaseSchedule] != 55*time.Millisecond {
-		t.Errorf("in total %+v", total)
+		t.Errorf("total: %+v", total)
 	}
 }
 
-// TestStepsAreMeasured has a machine take time in a phase.
+// TestStepsAreMeasured checks the measured time of a step that spends time in a phase.
 func TestStepsAreMeasured(t *testing.T) {
 	const spent = 20 * time.Millisecond
 	r := &recorder{}
--- a/daemon/host/pending_requests.go
+++ b/daemon/host/pending_requests.go
@@ -6,7 +6,7 @@
 	"sorrelloom/core/machine"
 )
 
-// pendingRequests are the requests that wait for their response.
+// pendingRequests holds the requests that wait for a response.
 type pendingRequests struct {
 	mu        sync.Mutex
 	lastID    uint64
@@ -33,8 +33,8 @@
 	delete(p.responses, id)
 }
 
-// respond passes a response on. One to a request that is not pending any more, or that
-// has a response already, is dropped.
+// respond delivers a response. It is dropped if the request is no longer pending or already
+// has a response.
 func (p *pendingRequests) respond(response machine.Response) {
 	p.mu.Lock()
 	channel, ok := p.responses[response.RequestID]
--- a/daemon/host/runner.go
+++ b/daemon/host/runner.go
@@ -11,19 +11,22 @@
 )
 
 const (
-	// maxPendingWrites is how many batches may wait for the disk before a step waits for it.
+	// maxPendingWrites is the number of batches that may be queued for the disk before a step
+	// blocks.
 	maxPendingWrites = 64
-	// minTimerInterval keeps a machine whose timer always expires from using all the time.
+	// minTimerInterval limits how often a machine is stepped whose timer is always expired.
 	minTimerInterval = time.Millisecond
 )
 
 // Runner steps one machine. Its exported methods are safe for concurrent use.
 type Runner struct {
 	host *Host
-	// kinds are the messages that the machine receives; none stands for all others.
+	// kinds are the kinds of messages that the machine receives; if empty, it receives those
+	// that no other machine does.
 	kinds  map[string]bool
 	writes chan machine.Write
-	// timerAt is when the machine wants its next step; only the event loop uses it.
+	// timerAt is the time of the machine's next timer, or 0 for none. It is only used by the
+	// event loop.
 	timerAt time.Duration
 
 	// mu is held during a step and by Inspect.
@@ -31,7 +34,7 @@
 	machine machine.Machine
 }
 
-// Step gives the machine one input, and returns when it is handled or the host is closed.
+// Step passes an input to the machine, and returns once it is handled or the host is closed.
 func (r *Runner) Step(in machine.Input) {
 	done := make(chan struct{})
 	if !r.host.receiveQueue.EnqueueCall(func() { r.step(in); close(done) }) {
@@ -43,11 +46,11 @@
 	}
 }
 
-// ErrClosed says that the host ended before a request was answered.
-var ErrClosed = errors.New("the host is closed")
+// ErrClosed means that the host was closed before a request was answered.
+var ErrClosed = errors.New("host is closed")
 
-// Do gives the machine a request and returns the body of the response. It fails with the
-// error of the context, or with ErrClosed, if that ends before the response.
+// Do passes a request to the machine and returns the body of the response. It returns the
+// context's error if the context is done first, and ErrClosed if the host is closed first.
 func (r *Runner) Do(ctx context.Context, request machine.Request) (any, error) {
 	id, response := r.host.requests.add()
 	defer r.host.requests.remove(id)
@@ -65,14 +68,15 @@
 	}
 }
 
-// Inspect calls f between two steps, so that it can read from the machine.
+// Inspect calls f between two steps, so that f can safely read the machine's state.
 func (r *Runner) Inspect(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// step gives the machine one input and does what it returns. Only the event loop calls it.
+// step passes an input to the machine and executes its output. It is only called by the event
+// loop.
 func (r *Runner) step(in machine.Input) {
 	out := r.stepLocked(in)
 	for _, response := range out.Responses {
@@ -129,7 +133,7 @@
 	r.host.transport.Send(outgoing.To, message)
 }
 
-// writeLoop makes the machine's batches durable in their order.
+// writeLoop executes the machine's writes in order, and enqueues their completions.
 func (r *Runner) writeLoop() {
 	for {
 		select {
@@ -148,7 +152,7 @@
 	}
 }
 
-// Read returns what read reads from a runner's machine between two steps.
+// Read calls read between two steps of a runner's machine and returns its result.
 func Read[T any](r *Runner, read func() T) T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/daemon/run/identity.go
+++ b/daemon/run/identity.go
@@ -6,8 +6,8 @@
 	"encoding/hex"
 )
 
-// RandomID returns a random number that fits into 63 bits, for IDs and seeds. State
-// machines draw no random numbers of their own, so that they stay deterministic.
+// RandomID returns a random 63-bit number for IDs and seeds. State machines generate no
+// random numbers of their own, so that they stay deterministic.
 func RandomID() uint64 {
 	var data [8]byte
 	if _, err := rand.Read(data[:]); err != nil {
--- a/daemon/run/process.go
+++ b/daemon/run/process.go
@@ -22,11 +22,12 @@
 )
 
 const (
-	// handoverTimeout is how long a stopping daemon may take to hand its leadership over.
+	// handoverTimeout bounds the time that a stopping daemon takes to hand over its
+	// leadership.
 	handoverTimeout = 5 * time.Second
-	// httpCloseTimeout is how long HTTP requests in progress may take at the end.
+	// httpCloseTimeout bounds the time for HTTP requests in progress when the daemon stops.
 	httpCloseTimeout = time.Second
-	// auditDirName is the directory of the audit log in the data directory.
+	// auditDirName is the directory of the audit log, within the data directory.
 	auditDirName = "audit"
 )
 
@@ -65,8 +66,8 @@
 	}
 }
 
-// startAudit opens the audit log. Without it the daemon runs as well: the audit must never
-// stop scheduling.
+// startAudit opens the audit log. If that fails, the daemon runs without it, since the audit
+// log must never stop scheduling.
 func (p *process) startAudit() {
 	log, err := audit.Open(filepath.Join(p.settings.DataDir, auditDirName), p.daemon.ID)
 	if err != nil {
@@ -81,7 +82,7 @@
 	log.Run()
 }
 
-// start listens on both addresses and steps the machines for the first time.
+// start listens on both addresses and runs the machines.
 func (p *process) start() error {
 	listener, err := net.Listen("tcp", p.settings.HTTPAddress)
 	if err != nil {
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// serve waits for a signal or a failed write, and returns the exit code.
+// serve waits for a signal or a failed write, stops the daemon after a signal, and returns
+// the exit code.
 func (p *process) serve() int {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -114,7 +116,7 @@
 	return exitOK
 }
 
-// stop hands leadership over, and then closes everything.
+// stop hands over leadership and then closes everything.
 func (p *process) stop() {
 	logging.Info("stopping")
 	p.runner.Step(machine.Input{Stop: true})
--- a/daemon/run/run.go
+++ b/daemon/run/run.go
@@ -1,6 +1,6 @@
-// Package run is the main function that all daemons share: settings, durable storage, the
-// daemon's state machine beside that of the gossip membership, HTTP, and a stop on a
-// signal that hands leadership over first.
+// Package run contains the main function of all daemons. It reads the settings, opens the
+// storage, runs the daemon's state machine and the gossip membership, and serves HTTP. On a
+// signal, it hands over leadership before it exits.
 package run
 
 import (
@@ -34,16 +34,16 @@
 	// ID identifies the daemon in the membership.
 	ID      string
 	Machine machine.Machine
-	// Diagnostics returns what the daemon shows of itself over HTTP.
+	// Diagnostics returns the health, status and metrics that the daemon serves over HTTP.
 	Diagnostics func(h *host.Host, r *host.Runner) web.Diagnostics
 	// API says whether the daemon serves the HTTP API.
 	API bool
 }
 
-// BuildFunc builds a daemon from its settings and, for a replica, what it has stored.
+// BuildFunc builds a daemon from its settings and, for a replica, its stored state.
 type BuildFunc func(settings.Settings, machine.StoredState) (Daemon, error)
 
-// Main runs one daemon until it is stopped, and returns the exit code.
+// Main runs a daemon until it is stopped, and returns the exit code.
 func Main(role string, isReplica bool, build BuildFunc) int {
 	s, err := settings.Parse(role, isReplica, os.Args[1:])
 	if errors.Is(err, settings.ErrInfoPrinted) {
