--- a/daemon/client/client.go
+++ b/daemon/client/client.go
@@ -22,8 +22,8 @@
 	maxConnectionsPerHost = 4096
 )
 
-// ErrUnreachable is returned if no response was received in time. The request may have
-// taken effect all the same.
+// ErrUnreachable is returned if there was no response in time. The request may have been
+// executed nevertheless.
 var ErrUnreachable = errors.New("no response")
 
 // Client calls a list of gateways. It is safe for concurrent use.
@@ -33,7 +33,7 @@
 	hertz       *hertz.Client
 }
 
-// MustNew creates a client of gateways at IP:port addresses.
+// MustNew creates a client for gateways at the given IP:port addresses.
 func MustNew(gateways []string) *Client {
 	hlog.SetLevel(hlog.LevelFatal)
 	c, err := hertz.NewClient(hertz.WithDialTimeout(dialTimeout), hertz.WithMaxConnsPerHost(maxConnectionsPerHost),
@@ -51,7 +51,7 @@
 	Body       []byte
 }
 
-// Decode decodes a JSON body.
+// Decode decodes the JSON body into v.
 func (r Response) Decode(v any) error {
 	if err := json.Unmarshal(r.Body, v); err != nil {
 		return fmt.Errorf("decode response of status %d, body %.200q: %w", r.Status, r.Body, err)
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Call calls one gateway after the other until one is available. Each of them has the
-// whole timeout.
+// Call sends a request to the gateways in turn until one is available. The timeout applies to
+// each of them separately.
 func (c *Client) Call(
 	method, path string, body []byte, headers map[string]string, timeout time.Duration,
 ) (response Response, err error) {
@@ -73,8 +73,8 @@
 	return response, err
 }
 
-// CallOnce calls the current gateway. If that is not available, the next call goes to the
-// next one.
+// CallOnce sends a request to the current gateway. If the gateway is unavailable, the next
+// request goes to the next one.
 func (c *Client) CallOnce(
 	method, path string, body []byte, headers map[string]string, timeout time.Duration,
 ) (Response, error) {
@@ -87,7 +87,7 @@
 	return response, err
 }
 
-// CallAddress calls one address.
+// CallAddress sends a request to one address.
 func (c *Client) CallAddress(
 	address, method, path string, body []byte, headers map[string]string, timeout time.Duration,
 ) (Response, error) {
--- a/daemon/cmd/replica/main.go
+++ b/daemon/cmd/replica/main.go
@@ -1,4 +1,4 @@
-// Command replica stores the replicated state. It runs on the machines with a disk.
+// Command replica stores the replicated state. It runs on machines with a disk.
 package main
 
 import (
--- a/daemon/cmd/scheduler/main.go
+++ b/daemon/cmd/scheduler/main.go
@@ -1,4 +1,5 @@
-// Command scheduler dispatches tasks in the zones that it leads. It stores nothing.
+// Command scheduler dispatches tasks in the zones whose leadership it holds. It stores
+// nothing on disk.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	os.Exit(run.Main(wire.RoleScheduler, false, build))
 }
 
-// status is the status page.
+// status is the content of the status page.
 type status struct {
 	LedZones      []string          `json:"duties"`
 	ConfigVersion uint64            `json:"planSequence"`
@@ -44,7 +45,8 @@
 	}
 }
 
-// dispatchGauges shows the dispatcher's counters. Each gauge reads all of them anew.
+// dispatchGauges returns gauges of the dispatcher's counters. Each gauge reads all counters
+// again.
 func dispatchGauges(read func() dispatch.Counters) []web.Gauge {
 	type counters = dispatch.Counters
 	gauge := func(name, help string, value func(counters) uint64) web.Gauge {
--- a/daemon/cmd/scheduler/recording_test.go
+++ b/daemon/cmd/scheduler/recording_test.go
@@ -6,7 +6,8 @@
 	"sorrelloom/core/goldentest"
 )
 
-// TestTheStatusIsEncodedAsRecorded holds the status page to its encoding by commit 40d3d2c.
-func TestTheStatusIsEncodedAsRecorded(t *testing.T) {
+// TestStatusIsEncodedAsRecorded compares the encoding of the status page with the one
+// recorded by commit 40d3d2c.
+func TestStatusIsEncodedAsRecorded(t *testing.T) {
 	goldentest.JSON(t, "testdata/40d3d2c/status.json", status{})
 }
--- a/daemon/cmd/sorrelctl/audit.go
+++ b/daemon/cmd/sorrelctl/audit.go
@@ -8,7 +8,7 @@
 	"sorrelloom/daemon/audit"
 )
 
-// verifyAuditLogs prints a report, and ends with exitRejected if anything is wrong.
+// verifyAuditLogs prints a verification report, and returns exitRejected if it has findings.
 func verifyAuditLogs(dirs, publicKeys []string, out, errs io.Writer) int {
 	report, err := audit.Verify(dirs, publicKeys)
 	if err != nil {
--- a/daemon/cmd/sorrelctl/commands.go
+++ b/daemon/cmd/sorrelctl/commands.go
@@ -6,18 +6,19 @@
 	"strings"
 )
 
-// apiCall is the call of the API that a command stands for.
+// apiCall is the API request for a command.
 type apiCall struct {
 	method, path string
-	// file is the name of the file with the body; empty is none.
+	// file is the name of the file that contains the body; empty for no body.
 	file string
-	// needsBase is set for a change of the configuration.
+	// needsBase is set if the command changes the configuration and thus requires -base or
+	// -force.
 	needsBase bool
-	// explain is set if only the reason is printed why a job waits.
+	// explain is set if only the reason is printed for which a job waits.
 	explain bool
 }
 
-// command is a command of a few words, and the number of arguments that follow them.
+// command is a command of one or more words and the number of arguments that follow them.
 type command struct {
 	words         string
 	argumentCount int
@@ -58,7 +59,8 @@
 	}},
 }
 
-// earlierNames are names of commands in earlier releases, which are still accepted.
+// earlierNames maps the names of commands in earlier releases, which are still accepted, to
+// their current names.
 var earlierNames = map[string]string{
 	"duties":      "leaderships",
 	"plan get":    "config get",
@@ -75,7 +77,7 @@
 	return func([]string, options) apiCall { return apiCall{method: http.MethodGet, path: path} }
 }
 
-// post calls a path with the command's argument in it.
+// post returns the request of a command whose argument is part of the path.
 func post(before, after string) func([]string, options) apiCall {
 	return func(a []string, _ options) apiCall {
 		return apiCall{method: http.MethodPost, path: before + url.PathEscape(a[0]) + after}
@@ -92,7 +94,7 @@
 	return apiCall{method: http.MethodGet, path: "/v1/jobs/" + url.PathEscape(a[0]) + "?wait=" + o.wait.String()}
 }
 
-// parseCommand finds the command that the words stand for.
+// parseCommand returns the API request for the words of a command.
 func parseCommand(words []string, o options) (apiCall, bool) {
 	for _, c := range commands {
 		wordCount := len(words) - c.argumentCount
--- a/daemon/cmd/sorrelctl/commands_test.go
+++ b/daemon/cmd/sorrelctl/commands_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// TestEarlierNamesMeanTheSame compares each earlier name of a command with its name of today.
+// TestEarlierNamesMeanTheSame compares the request for each earlier name of a command with
+// that for its current name.
 func TestEarlierNamesMeanTheSame(t *testing.T) {
 	for earlier, name := range earlierNames {
 		for argumentCount := range 3 {
@@ -59,7 +60,7 @@
 			want, wantFound := parseCommand(append(strings.Fields(name), arguments...), options{})
 			got, found := parseCommand(append(strings.Fields(earlier), arguments...), options{})
 			if got != want || found != wantFound {
-				t.Errorf("%s %v: got %+v, %s gives %+v", earlier, arguments, got, name, want)
+				t.Errorf("%s %v: got %+v, want that of %s: %+v", earlier, arguments, got, name, want)
 			}
 		}
 	}
@@ -71,7 +72,7 @@
 		"plan put p", "plan patch p", "-moon jobs", "submit /nowhere/job.json",
 	} {
 		if exit := run(strings.Fields(args), io.Discard, io.Discard); exit != exitUsage {
-			t.Errorf("%q ends with %d", args, exit)
+			t.Errorf("%q: exit code %d, want exitUsage", args, exit)
 		}
 	}
 }
--- a/daemon/cmd/sorrelctl/main.go
+++ b/daemon/cmd/sorrelctl/main.go
@@ -1,6 +1,6 @@
-// Command sorrelctl is the command line of clients and operators. It prints the gateway's
-// JSON, and ends with 0 if the request succeeded, 1 if it was rejected, 2 for wrong usage
-// and 3 if no gateway could be reached.
+// Command sorrelctl is the command-line client for users and operators. It prints the
+// gateway's JSON. Its exit code is 0 if the request succeeded, 1 if it was rejected, 2 for
+// wrong usage, and 3 if no gateway could be reached.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"sorrelloom/daemon/settings"
 )
 
-// Exit codes, as the package comment names them.
+// Exit codes; see the package comment.
 const (
 	exitOK = iota
 	exitRejected
@@ -74,7 +74,8 @@
 	return printResponse(response, call.explain, out, errs)
 }
 
-// printResponse prints the JSON of a response, or only why a job waits if explain is set.
+// printResponse prints the JSON body of a response or, if explain is set, only the reason for
+// which a job waits. It returns the exit code.
 func printResponse(response client.Response, explain bool, out, errs io.Writer) int {
 	if explain && response.Status == http.StatusOK {
 		var view gateway.JobView
@@ -83,7 +84,7 @@
 			return exitOK
 		}
 	}
-	// Without standard output there is no place to report a failure to.
+	// Errors are ignored: if standard output fails, there is no place to report it.
 	_, _ = out.Write(response.Body)
 	if response.Status == http.StatusOK {
 		return exitOK
@@ -94,7 +95,8 @@
 	return exitRejected
 }
 
-// readFile reads a file, or standard input for "-"; without a name there is no content.
+// readFile reads a file, or standard input if the name is "-". It returns nil for an empty
+// name.
 func readFile(name string) ([]byte, error) {
 	switch name {
 	case "":
--- a/daemon/cmd/sorrelctl/members.go
+++ b/daemon/cmd/sorrelctl/members.go
@@ -18,18 +18,18 @@
 const (
 	nodesPath  = "/v1/nodes"
 	statusPath = "/status"
-	// statusTimeout is how long one member's status page may take.
+	// statusTimeout bounds the request for one member's status page.
 	statusTimeout = time.Second
 )
 
-// statusPage is one replica's own report.
+// statusPage is the report of the replica at an address.
 type statusPage struct {
 	address string
 	status  replica.Report
 }
 
-// members prints who leads, in which epoch, and how far each member is behind. The
-// addresses are those of status pages; without any, a gateway names the replicas.
+// members prints the leader, its epoch, and the lag of each member. addresses are those of
+// status pages; if empty, a gateway provides the addresses of the replicas.
 func members(gateways, addresses []string, timeout time.Duration, out, errs io.Writer) int {
 	if len(addresses) == 0 {
 		var err error
@@ -60,7 +60,7 @@
 	return exitOK
 }
 
-// replicaStatusAddresses asks a gateway for the HTTP addresses of the replicas.
+// replicaStatusAddresses returns the HTTP addresses of the replicas that a gateway knows.
 func replicaStatusAddresses(gateways []string, timeout time.Duration) ([]string, error) {
 	response, err := client.MustNew(gateways).Call(http.MethodGet, nodesPath, nil, nil, timeout)
 	if err != nil {
@@ -89,8 +89,9 @@
 	return report, response.Decode(&report)
 }
 
-// mostRecentReport is the report of the newest view, and in it that of the primary: one
-// that was replaced and doesn't know it yet still says that it leads an older epoch.
+// mostRecentReport returns the report with the newest view, preferring that of its primary. A
+// primary that was replaced and has not noticed yet still reports that it leads an older
+// epoch.
 func mostRecentReport(pages []statusPage) statusPage {
 	return slices.MaxFunc(pages, func(a, b statusPage) int {
 		if byEpoch := cmp.Compare(a.status.View.Epoch, b.status.View.Epoch); byEpoch != 0 {
@@ -100,8 +101,8 @@
 	})
 }
 
-// leadership ranks reports of one epoch: that of a primary whose leadership is confirmed
-// comes first.
+// leadership ranks reports of the same epoch: a primary with confirmed leadership ranks
+// highest, then an unconfirmed one.
 func leadership(r replica.Report) int {
 	switch {
 	case r.LeadershipConfirmed:
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// printMembers prints what a replica reports of the members of its view.
+// printMembers prints the members of a replica's view.
 func printMembers(out io.Writer, report replica.Report) {
 	leads := "leads in"
 	switch {
@@ -145,8 +146,8 @@
 	return (time.Duration(m.HeardMsAgo) * time.Millisecond).String() + " ago"
 }
 
-// printNonMembers names the replicas that answer and are no members: one with an empty disk
-// that waits to be added, or one that was replaced.
+// printNonMembers prints the replicas that respond but are not members of the view. These
+// have an empty disk and wait to be added, or have been replaced.
 func printNonMembers(out io.Writer, report replica.Report, pages []statusPage) {
 	var nonMembers []string
 	for _, page := range pages {
--- a/daemon/cmd/sorrelctl/members_test.go
+++ b/daemon/cmd/sorrelctl/members_test.go
@@ -14,7 +14,8 @@
 	"sorrelloom/core/wire"
 )
 
-// serveJSON answers GET of one path with a body.
+// serveJSON starts an HTTP server that responds to GET requests for one path with a JSON
+// body.
 func serveJSON(t *testing.T, path string, body any) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +31,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// reportOf is the report of a replica in an epoch that member "one" leads.
+// reportOf returns the report of a replica in an epoch whose leader is member "one".
 func reportOf(id string, epoch uint64, serving bool) replica.Report {
 	one, two := wire.Member{ID: "one", Address: "10.0.0.1:7000"}, wire.Member{ID: "two", Address: "10.0.0.2:7000"}
 	var report replica.Report
@@ -48,7 +49,8 @@
 	return report
 }
 
-// TestMembersShowsNewestLeader prints what the pages of several members say together.
+// TestMembersShowsNewestLeader checks what is printed for the status pages of several
+// members.
 func TestMembersShowsNewestLeader(t *testing.T) {
 	const nobody = "127.0.0.1:1"
 	leader := serveJSON(t, statusPath, reportOf("one", 4, true))
@@ -66,7 +68,7 @@
 		{"all answer", []string{backup, leader}, exitOK, []string{"10.0.0.1:7000 leads in epoch 4", "893", "7", "40ms ago"}},
 		{"a replaced leader answers too", []string{replaced, leader}, exitOK,
 			[]string{"leads in epoch 4", "not in this view: " + replaced + " (old)"}},
-		{"the leader is away", []string{nobody, backup}, exitRejected,
+		{"the leader does not answer", []string{nobody, backup}, exitRejected,
 			[]string{"is named to lead and did not confirm it in epoch 4",
 				"no status from " + nobody, "none leads and is confirmed"}},
 		{"the leader reaches no backup", []string{unconfirmed, backup}, exitRejected,
@@ -76,7 +78,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			var out bytes.Buffer
 			if exit := members(nil, row.pages, time.Second, &out, &out); exit != row.exit {
-				t.Errorf("ends with %d, want %d", exit, row.exit)
+				t.Errorf("exit code %d, want %d", exit, row.exit)
 			}
 			for _, text := range row.has {
 				if !strings.Contains(out.String(), text) {
@@ -87,7 +89,8 @@
 	}
 }
 
-// TestMembersAsksGatewayForReplicas finds status pages without addresses given.
+// TestMembersAsksGatewayForReplicas checks that a gateway provides the addresses if none are
+// given.
 func TestMembersAsksGatewayForReplicas(t *testing.T) {
 	leader := serveJSON(t, statusPath, reportOf("one", 4, true))
 	gateway := serveJSON(t, nodesPath, wire.Gossip{Nodes: []wire.Node{
@@ -96,6 +99,6 @@
 	}})
 	var out bytes.Buffer
 	if exit := members([]string{gateway}, nil, time.Second, &out, &out); exit != exitOK {
-		t.Errorf("ends with %d:\n%s", exit, out.String())
+		t.Errorf("exit code %d:\n%s", exit, out.String())
 	}
 }
--- a/daemon/cmd/sorrelctl/options.go
+++ b/daemon/cmd/sorrelctl/options.go
@@ -57,25 +57,25 @@
 	printUsage      func()
 }
 
-// parseOptions reads the flags and returns them with the words of the command.
+// parseOptions parses the flags and returns them together with the words of the command.
 func parseOptions(args []string, errs io.Writer) (o options, words []string, err error) {
 	flags := flag.NewFlagSet("sorrelctl", flag.ContinueOnError)
 	flags.SetOutput(errs)
 	var gateways, statusAddresses, publicKeys string
 	flags.StringVar(&gateways, "fronts", "127.0.0.1:8080",
 		"comma-separated IP:port of gateways; also SORRELCTL_FRONTS")
-	flags.DurationVar(&o.wait, "wait", 0, "status: wait so long for a change")
-	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "how long one gateway may take")
-	flags.Uint64Var(&o.base, "base", 0, "config put, patch: the version that the change is made on")
-	flags.BoolVar(&o.force, "force", false, "config put, patch: whatever the version is")
+	flags.DurationVar(&o.wait, "wait", 0, "status: maximum wait for a change")
+	flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "timeout of a request to one gateway")
+	flags.Uint64Var(&o.base, "base", 0, "config put, patch: the version that the change is based on")
+	flags.BoolVar(&o.force, "force", false, "config put, patch: apply the change to any version")
 	flags.StringVar(&o.idempotencyKey, "key", "",
-		"operators' writes: the idempotency key, to repeat a call that had no response; else a new one")
+		"operators' commands: idempotency key, to retry a request without a response (default random)")
 	flags.StringVar(&o.tenantKey, "tenant-key", "",
-		"submit, status, cancel, why: the key of a tenant; also SORRELCTL_TENANT_KEY")
+		"submit, status, cancel, why: key of the tenant; also SORRELCTL_TENANT_KEY")
 	flags.StringVar(&statusAddresses, "status", "",
-		"members: comma-separated IP:port of status pages; else a gateway names the replicas")
+		"members: comma-separated IP:port of status pages (default: the replicas that a gateway knows)")
 	flags.StringVar(&publicKeys, "keys", "",
-		"audit verify: comma-separated public keys; else those in the folders")
+		"audit verify: comma-separated public keys (default: those in the folders)")
 	flags.Usage = func() {
 		fmt.Fprint(errs, usage)
 		flags.PrintDefaults()
@@ -93,8 +93,8 @@
 	return o, flags.Args(), nil
 }
 
-// baseQuery is the query of a change of the configuration: the version it is made on, or
-// that any is accepted. It is empty if neither was given.
+// baseQuery returns the query of a configuration change: the version that it is based on, or
+// that it applies to any version. It is empty if neither flag was given.
 func (o options) baseQuery() string {
 	switch {
 	case o.force:
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// splitList splits a list at its commas; an empty text is an empty list.
+// splitList splits a comma-separated list. It returns nil for an empty string.
 func splitList(list string) []string {
 	if list == "" {
 		return nil
--- a/daemon/logging/logging_test.go
+++ b/daemon/logging/logging_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// captured returns what log writes for a node.
+// captured returns the lines that log writes when logging as node.
 func captured(t *testing.T, node string, log func()) string {
 	t.Helper()
 	var out strings.Builder
@@ -46,7 +46,7 @@
 	}
 }
 
-// BenchmarkInfo writes a line of four fields to a file that discards it.
+// BenchmarkInfo logs lines with four fields to the null device.
 func BenchmarkInfo(b *testing.B) {
 	discard, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
--- a/daemon/pool/pool.go
+++ b/daemon/pool/pool.go
@@ -1,6 +1,5 @@
-// Package pool starts the goroutines of a daemon, all of them on one ants pool. A panic
-// in any of them ends the process: a daemon that has lost a part of itself must not go
-// on with the rest.
+// Package pool starts the goroutines of a daemon, all on one ants pool. A panic in any of
+// them ends the process, since a daemon must not continue without one of its parts.
 package pool
 
 import (
@@ -31,7 +30,7 @@
 	return pool
 }
 
-// Go runs f in a goroutine of the pool.
+// Go runs f on a goroutine of the pool.
 func Go(f func()) {
 	if err := shared.Submit(f); err != nil {
 		panic(err)
--- a/daemon/settings/check.go
+++ b/daemon/settings/check.go
@@ -17,7 +17,8 @@
 // checker collects the problems of a daemon's settings.
 type checker struct{ problems []string }
 
-// check returns all problems of the settings and of the arguments that are no flags.
+// check returns all problems with the settings and the positional arguments, of which there
+// should be none.
 func check(s Settings, isReplica bool, arguments []string) []string {
 	var c checker
 	c.checkReachable("address", s.Address)
@@ -62,7 +63,7 @@
 	}
 }
 
-// checkHTTPAddress checks an address that may stand for all addresses of the machine.
+// checkHTTPAddress checks the HTTP address, which may be a wildcard address.
 func (c *checker) checkHTTPAddress(value string) {
 	address, err := netip.ParseAddrPort(value)
 	switch {
@@ -73,8 +74,8 @@
 	}
 }
 
-// checkListenAddress leaves an address that is not an IP:port to the check of -address, if
-// it was taken from there.
+// checkListenAddress checks the listen address. If it was copied from -address, an invalid
+// one is already reported for -address.
 func (c *checker) checkListenAddress(s Settings) {
 	address, err := netip.ParseAddrPort(s.ListenAddress)
 	if err != nil && s.ListenAddress != s.Address || err == nil && address.Port() == 0 {
--- a/daemon/settings/listen.go
+++ b/daemon/settings/listen.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// MustListen listens on an address at the start of a program. If that fails, it prints the
-// error and ends the process.
+// MustListen listens on an address when a program starts. On failure, it prints the error and
+// exits.
 func MustListen(address string) net.Listener {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/daemon/settings/settings.go
+++ b/daemon/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings reads a daemon's settings from flags, from environment variables
-// SORRELLOOM_NAME and from a settings file, in this order of precedence. All settings are
-// checked at the start: every problem is reported at once, and none is corrected by
-// guessing.
+// Package settings reads a daemon's settings from flags, environment variables
+// SORRELLOOM_NAME and a settings file, in this order of precedence. All settings are checked
+// at the start: all problems are reported together, and none is corrected automatically.
 package settings
 
 import (
@@ -15,19 +14,19 @@
 
 const environmentPrefix = "SORRELLOOM"
 
-// ErrInfoPrinted is returned if the help text or the version was asked for and is printed.
+// ErrInfoPrinted is returned after the help text or the version was printed on request.
 var ErrInfoPrinted = errors.New("help or version printed")
 
-// ErrInvalid is returned for settings that cannot be used.
+// ErrInvalid is wrapped by the errors for invalid settings.
 var ErrInvalid = errors.New("invalid settings")
 
-// InvalidError lists all problems of a daemon's settings. It wraps ErrInvalid.
+// InvalidError contains all problems with a daemon's settings. It wraps ErrInvalid.
 type InvalidError struct {
 	Program  string
 	Problems []string
 }
 
-// Error lists the problems, one a line.
+// Error lists the problems, one per line.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("%s: %d problems with the settings:\n  %s",
 		e.Program, len(e.Problems), strings.Join(e.Problems, "\n  "))
@@ -38,39 +37,39 @@
 
 // Settings are the settings of a daemon.
 type Settings struct {
-	// Address is the IP:port that other daemons reach this one at; ListenAddress is the
-	// one it listens on, which differs behind address translation.
+	// Address is the IP:port at which other daemons reach this one. ListenAddress is the one
+	// it listens on, which differs behind address translation.
 	Address       string
 	ListenAddress string
-	// HTTPAddress is the IP:port of health, metrics and, on a gateway, the API.
+	// HTTPAddress is the IP:port that serves health, metrics and, on a gateway, the API.
 	HTTPAddress string
 	// Zone is the failure domain that the daemon runs in.
 	Zone string
-	// Seeds are the addresses of daemons to join the membership from.
+	// Seeds are the addresses of daemons through which this one joins the membership.
 	Seeds []string
 	// Founders are the addresses of the replicas that bootstrap the cluster; replicas only.
 	Founders []string
 	// DataDir is the data directory; replicas only.
 	DataDir string
-	// AuditEnabled says whether the audit log is written; replicas only.
+	// AuditEnabled enables the audit log; replicas only.
 	AuditEnabled bool
 }
 
-// Parse reads and checks the settings of one daemon. It returns ErrInfoPrinted or an
-// error that wraps ErrInvalid.
+// Parse reads and checks the settings of a daemon. It returns ErrInfoPrinted or an error that
+// wraps ErrInvalid if the daemon should not start.
 func Parse(program string, isReplica bool, args []string) (Settings, error) {
 	var s Settings
 	var seeds, founders string
 	var showVersion bool
 	flags := newFlagSet(program)
-	flags.StringVar(&s.Address, "address", "", "IP:port where other daemons reach this one (required)")
+	flags.StringVar(&s.Address, "address", "", "IP:port at which other daemons reach this one (required)")
 	flags.StringVar(&s.ListenAddress, "listen", "", "IP:port to listen on, if it differs from -address")
 	flags.StringVar(&s.HTTPAddress, "http", "",
 		"IP:port for HTTP: health and metrics, and on a gateway the API (required)")
-	flags.StringVar(&s.Zone, "site", "", "name of the zone that this machine is in (required)")
-	flags.StringVar(&seeds, "seeds", "", "comma-separated IP:port of up to three daemons to join from")
+	flags.StringVar(&s.Zone, "site", "", "name of this machine's zone (required)")
+	flags.StringVar(&seeds, "seeds", "", "comma-separated IP:port of up to three daemons to join through")
 	flags.BoolVar(&showVersion, "version", false, "print the version and exit")
-	flags.String("settings", "", "settings file with one 'name value' a line")
+	flags.String("settings", "", "settings file with one 'name value' per line")
 	if isReplica {
 		flags.StringVar(&s.DataDir, "data", "", "data directory (required)")
 		flags.BoolVar(&s.AuditEnabled, "audit", true, "write the audit log into the data directory")
@@ -109,7 +108,7 @@
 	return flags
 }
 
-// splitList splits a list at its commas, without empty parts.
+// splitList splits a comma-separated list and omits empty elements.
 func splitList(text string) []string {
 	var parts []string
 	for _, part := range strings.Split(text, ",") {
--- a/daemon/settings/settings_test.go
+++ b/daemon/settings/settings_test.go
@@ -18,10 +18,10 @@
 	}{
 		{"good", false, good, nil},
 		{"good replica", true, append(good, "-data", "d", "-founders", "1.1.1.1:1,1.1.1.2:1,1.1.1.3:1"), nil},
-		{"nothing", true, nil, []string{"-address", "-http", "-site", "-data"}},
-		{"names instead of numbers", false,
+		{"no settings", true, nil, []string{"-address", "-http", "-site", "-data"}},
+		{"host names instead of IP addresses", false,
 			[]string{"-address", "host:7000", "-http", "h:1", "-site", "a b"}, []string{"-address", "-http", "-site"}},
-		{"nobody can reach it", false, append(good, "-address", "0.0.0.0:7000"), []string{"cannot be reached"}},
+		{"unreachable address", false, append(good, "-address", "0.0.0.0:7000"), []string{"cannot be reached"}},
 		{"four seeds", false, append(good, "-seeds", "1.1.1.1:1,1.1.1.2:1,1.1.1.3:1,1.1.1.4:1"), []string{"at most three"}},
 		{"two founders", true, append(good, "-data", "d", "-founders", "1.1.1.1:1,1.1.1.2:1"), []string{"three or none"}},
 		{"unknown flag", false, append(good, "-moon", "1"), []string{"moon"}},
@@ -39,7 +39,7 @@
 		}
 		for _, problem := range row.problems {
 			if !strings.Contains(err.Error(), problem) {
-				t.Errorf("%s: %q is not named in %v", row.name, problem, err)
+				t.Errorf("%s: %q is not reported in %v", row.name, problem, err)
 			}
 		}
 	}
--- a/daemon/settings/version.go
+++ b/daemon/settings/version.go
@@ -2,7 +2,7 @@
 
 import "runtime/debug"
 
-// Release is the version of the programs. A build may set it by -ldflags.
+// Release is the version of the programs, which a build may set by -ldflags.
 var Release = "0.1.0"
 
 // Version returns a program's name, release and source revision.
--- a/daemon/web/api.go
+++ b/daemon/web/api.go
@@ -26,13 +26,14 @@
 	maxIdempotencyKeyLength = 128
 )
 
-// Route is one call of the API: Kind and Enable go into the request to the gateway.
+// Route is one endpoint of the API. Kind and Enable are copied into the request to the
+// gateway.
 type Route struct {
 	Method, Path, Kind string
 	Enable             bool
 }
 
-// Routes are all calls of the API. A test keeps the table in docs/api.md the same.
+// Routes are all endpoints of the API. A test compares them with the table in docs/api.md.
 var Routes = []Route{
 	{http.MethodPost, "/v1/jobs", gateway.RequestSubmit, false},
 	{http.MethodGet, "/v1/jobs", gateway.RequestJobs, false},
@@ -54,7 +55,7 @@
 	{http.MethodPost, "/v1/duties/:name/pass", gateway.RequestMoveLeadership, false},
 }
 
-// ServeAPI serves the routes from a gateway.
+// ServeAPI serves the routes by passing their requests to a gateway.
 func (s *Server) ServeAPI(gatewayRunner *host.Runner) {
 	for _, route := range Routes {
 		s.engine.Handle(route.Method, route.Path, func(ctx context.Context, c *app.RequestContext) {
@@ -85,10 +86,10 @@
 	writeJSON(c, reply.StatusCode, reply.Body)
 }
 
-// validUTF8 replaces what is not UTF-8, which all text in messages must be.
+// validUTF8 replaces invalid UTF-8, since all text in messages must be valid.
 func validUTF8(text string) string { return strings.ToValidUTF8(text, "\uFFFD") }
 
-// parseRequest reads the request of a route. The body is copied, since hertz reuses it.
+// parseRequest returns the request to the gateway. The body is copied, since hertz reuses it.
 func parseRequest(c *app.RequestContext, route Route) (machine.Request, error) {
 	request := machine.Request{
 		Kind: route.Kind, Enable: route.Enable, Name: validUTF8(c.Param("name")), Target: validUTF8(c.Query("to")),
@@ -106,7 +107,8 @@
 	return request, parseBaseVersion(c, &request)
 }
 
-// parseWait reads how long the response may be delayed: wait of clients, hold of workers.
+// parseWait parses the maximum delay of the response: the parameter wait of clients, or hold
+// of workers.
 func parseWait(c *app.RequestContext, request *machine.Request) error {
 	for _, name := range []string{"wait", "hold"} {
 		text := c.Query(name)
@@ -122,8 +124,8 @@
 	return nil
 }
 
-// parseBaseVersion reads the version that a change of the configuration is made on. A
-// change needs it, or force=true.
+// parseBaseVersion parses the configuration version that a change is based on. A change
+// requires it, or force=true.
 func parseBaseVersion(c *app.RequestContext, request *machine.Request) error {
 	if text := c.Query("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
--- a/daemon/web/api_test.go
+++ b/daemon/web/api_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestEveryRouteIsDocumented keeps the table of docs/api.md and the routes the
-// same, both ways.
+// TestEveryRouteIsDocumented checks that the table in docs/api.md lists exactly the routes
+// that are served.
 func TestEveryRouteIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/api.md")
 	if err != nil {
--- a/daemon/web/server.go
+++ b/daemon/web/server.go
@@ -1,5 +1,5 @@
-// Package web serves HTTP with hertz: health, metrics and status on every daemon, and the
-// API of clients, operators and workers on a gateway.
+// Package web serves HTTP with hertz: health, metrics and status on every daemon, and the API
+// for clients, operators and workers on gateways.
 package web
 
 import (
@@ -23,9 +23,11 @@
 )
 
 const (
-	// maxBodyBytes is the largest body that is accepted; a larger one gets an error.
+	// maxBodyBytes is the maximum size of an accepted body. A larger body gets an error
+	// response.
 	maxBodyBytes = 4 << 20
-	// maxReadBytes is the largest body that is read; beyond it hertz closes the connection.
+	// maxReadBytes is the maximum size of a body that is read. For a larger one, hertz closes
+	// the connection.
 	maxReadBytes = 16 << 20
 
 	connectionTimeout = time.Minute
@@ -33,13 +35,13 @@
 	metricsNamespace  = "sorrelloom"
 )
 
-// Gauge is a number on the metrics page. Read is called whenever the page is requested.
+// Gauge is a metric. Read is called whenever the metrics are requested.
 type Gauge struct {
 	Name, Help string
 	Read       func() float64
 }
 
-// Diagnostics is what a daemon shows of itself.
+// Diagnostics defines the health, status and metrics of a daemon.
 type Diagnostics struct {
 	Ready  func() bool
 	Status func() any
@@ -49,7 +51,7 @@
 // Server is an HTTP server.
 type Server struct{ engine *server.Hertz }
 
-// New creates a server that shows the diagnostics. It serves once Run is called.
+// New creates a server of the diagnostics. It serves requests once Run is called.
 func New(listener net.Listener, diagnostics Diagnostics) *Server {
 	hlog.SetLevel(hlog.LevelFatal)
 	engine := server.New(
@@ -109,9 +111,9 @@
 	})
 }
 
-// Close ends the server. Requests in progress may take until the context ends.
+// Close stops the server. Requests in progress may finish until the context is done.
 func (s *Server) Close(ctx context.Context) {
-	// What is still in progress then fails for its client, which repeats it elsewhere.
+	// Requests still in progress then fail, and their clients retry them elsewhere.
 	_ = s.engine.Shutdown(ctx)
 }
 
