--- a/tool/sim/agent_runs.go
+++ b/tool/sim/agent_runs.go
@@ -45,8 +45,8 @@
 type activeRun struct {
 	run      run
 	duration time.Duration
-	percent  int // the progress in the last checkpoint
-	fails    bool
+	percent  int          // the progress in the last checkpoint
+	fails    bool         // whether it fails once its duration has elapsed
 	gang     *gangAttempt // nil if the task belongs to no gang
 }
 
@@ -55,7 +55,7 @@
 type gangAttempt struct {
 	size     int
 	members  []*simAgentWorker
-	attempts []state.Attempt // parallel to members
+	attempts []state.Attempt // attempts[i] runs on members[i]
 	broken   bool            // a member has ended, so that all others end too
 }
 
--- a/tool/sim/agent_worker.go
+++ b/tool/sim/agent_worker.go
@@ -72,7 +72,7 @@
 }
 
 // worldTime converts a time on the worker's own clock to simulated time. It adds a
-// microsecond, so that the own clock has passed that time despite rounding.
+// microsecond, so that the worker's clock has passed that time despite rounding.
 func (w *simAgentWorker) worldTime(local time.Duration) time.Duration {
 	return w.bootedAt + time.Duration(float64(local)/w.clockRate) + time.Microsecond
 }
@@ -229,8 +229,8 @@
 	})
 }
 
-// renewLease extends the lease to remaining after sentAt, when the call was sent. It never
-// shortens the lease.
+// renewLease extends the lease to the duration remaining after sentAt, when the call was
+// sent. It never shortens the lease.
 func (w *simAgentWorker) renewLease(sentAt, remaining time.Duration) {
 	if remaining <= 0 || sentAt+remaining <= w.leaseExpiry {
 		return
--- a/tool/sim/connection.go
+++ b/tool/sim/connection.go
@@ -46,15 +46,15 @@
 // connection carries messages from one node to another.
 type connection struct {
 	from, to         *node
-	toIncarnation    uint64
+	toIncarnation    uint64 // the incarnation of the peer's process to which it leads
 	queue            []queuedMessage
 	current          *queuedMessage
 	unsent           int    // bytes of the current message that have not been sent
 	currentNumber    uint64 // the number of the current message, counted from 1
 	timeoutArmedFor  uint64 // the number of the last message whose timeout was armed
 	currentStartedAt time.Duration
-	inFlight         int // bytes that were sent and have not been read
-	resets           uint64
+	inFlight         int    // bytes that were sent and have not been read
+	resets           uint64 // how often it was reset, to discard chunks sent before
 	unread           []segment
 	reading          bool // the peer is processing a message of this connection
 }
