--- a/tool/sim/hardware.go
+++ b/tool/sim/hardware.go
@@ -2,32 +2,31 @@
 
 import "time"
 
-// Hardware is what the computers of a world have. The zero value of a part is without
-// bounds.
+// Hardware limits the computers of a world. The zero value of a field means no limit.
 type Hardware struct {
-	// Share is the part of a core that each process has.
+	// Share is the fraction of a core that each process can use.
 	Share float64
 	Costs Costs
 	Links Links
 	Disks Disks
-	// QueuePolicy says how messages wait for a busy processor.
+	// QueuePolicy determines how messages wait for a busy processor.
 	QueuePolicy QueuePolicy
 }
 
-// CoreShare is the part of a core that each process has at the large site.
+// CoreShare is the fraction of a core that each process can use at the large site.
 const CoreShare = 0.48
 
-// The cost of a snapshot transfer was measured on a state of 6,599 records: 2.8 µs a
-// record to gather them, 13 ns a byte to encode and 20 ns a byte to decode them, 7.2 µs a
-// record to load them. Real processes took about twice what such loops take (garbage
-// collection, cold caches), so that for decoding, gathering and loading twice these
-// figures stand here.
+// The cost of a snapshot transfer was measured in loops over a state of 6,599 records:
+// 2.8 µs per record to gather it, 13 ns per byte to encode and 20 ns per byte to decode,
+// 7.2 µs per record to load it. Real processes took about twice as long as such loops
+// (garbage collection, cold caches), so the costs of decoding, gathering and loading are
+// twice the measured ones.
 //
-// The rest is set so that the leader of a run without faults takes what real processes
-// took with 74 workers and 200 starts a second: 0.168 of a core. With messages in JSON and
-// a store of pages it was 0.367, 43 % of it for messages read and decoded, 29 % for the
-// dispatcher's steps, 18 % for storage; decoding has since fallen to under a third
-// (BenchmarkEncoding of core/wire), and steps look at workers with updates only.
+// The other costs are set so that the leader of a run without faults uses as much as a real
+// one did with 74 workers and 200 starts per second: 0.168 of a core. With JSON messages and
+// a page-based store it used 0.367 of a core: 43 % for reading and decoding messages, 29 %
+// for the dispatcher's steps, and 18 % for storage. Since then decoding has fallen to less
+// than a third (BenchmarkEncoding in core/wire), and steps look only at workers with updates.
 var measuredCosts = Costs{
 	Step:         12 * time.Microsecond,
 	ReadMessage:  26 * time.Microsecond,
@@ -43,18 +42,20 @@
 	Request:      30 * time.Microsecond,
 }
 
-// assumedLinks are not measured. The rate is that of a network of 100 Mbit/s, the window
-// lies between what a kernel gives at first, 64 KB, and at most, some MB; the rest is as
-// in daemon/transport. At 1 Gbit/s the large site recovers from a wiped and from a frozen
-// leader in 3.5 s, but not from all core processes killed at once (seed 1).
+// assumedLinks are assumptions, not measurements. The rate is that of a 100 Mbit/s network.
+// The window lies between the initial 64 KB and the maximum of some MB that a kernel
+// provides. The other values are those of daemon/transport. At 1 Gbit/s the large site
+// recovers from a wiped and from a frozen leader in 3.5 s, but does not recover when all
+// core processes are killed at once (seed 1).
 var assumedLinks = Links{
 	BytesPerSecond: 12_500_000, Window: 256 << 10, WriteTimeout: 3 * time.Second, QueueMax: 8192,
 }
 
-// assumedDisks are not measured: they write 50 MB/s beside the time that every batch takes.
+// assumedDisks is an assumption, not a measurement: 50 MB/s, in addition to the fixed time
+// that each batch takes.
 var assumedDisks = Disks{BytesPerSecond: 50_000_000}
 
-// LargeSiteHardware is what each computer of the large site has.
+// LargeSiteHardware returns the hardware of the large site.
 func LargeSiteHardware() *Hardware {
 	return &Hardware{Share: CoreShare, Costs: measuredCosts, Links: assumedLinks, Disks: assumedDisks}
 }
--- a/tool/sim/held_links.go
+++ b/tool/sim/held_links.go
@@ -2,8 +2,8 @@
 
 import "sorrelloom/core/machine"
 
-// ResetConnections closes every connection from and to a node: what is on its way is
-// lost, later messages arrive.
+// ResetConnections closes every connection from and to a node. Messages in flight are lost;
+// later ones arrive.
 func (w *World) ResetConnections(n *node) {
 	w.logf("reset the connections of %s", n.name)
 	for _, address := range w.addresses() {
@@ -20,21 +20,21 @@
 	}
 }
 
-// HoldLink keeps what goes from one node to another back until the link is released, as
-// a connection does that outlives a short partition.
+// HoldLink holds back messages from one node to another until ReleaseLink, like a connection
+// that survives a short partition.
 func (w *World) HoldLink(from, to string) {
-	way := link{from, to}
-	if _, held := w.heldMessages[way]; !held {
+	l := link{from, to}
+	if _, held := w.heldMessages[l]; !held {
 		w.logf("hold link %s to %s", from, to)
-		w.heldMessages[way] = []machine.Message{}
+		w.heldMessages[l] = []machine.Message{}
 	}
 }
 
-// ReleaseLink delivers what was held back, in order.
+// ReleaseLink delivers the messages that HoldLink held back, in order.
 func (w *World) ReleaseLink(from, to string) {
-	way := link{from, to}
-	messages := w.heldMessages[way]
-	delete(w.heldMessages, way)
+	l := link{from, to}
+	messages := w.heldMessages[l]
+	delete(w.heldMessages, l)
 	n := w.nodes[to]
 	w.logf("release %d messages from %s to %s", len(messages), from, to)
 	for _, message := range messages {
@@ -42,12 +42,12 @@
 	}
 }
 
-// hold keeps a message back, and reports true, if its link is held.
+// hold holds a message back if its link is held, and reports whether it did.
 func (w *World) hold(from, to string, message machine.Message) bool {
-	way := link{from, to}
-	messages, held := w.heldMessages[way]
+	l := link{from, to}
+	messages, held := w.heldMessages[l]
 	if held {
-		w.heldMessages[way] = append(messages, message)
+		w.heldMessages[l] = append(messages, message)
 	}
 	return held
 }
--- a/tool/sim/leadership.go
+++ b/tool/sim/leadership.go
@@ -7,7 +7,8 @@
 	"sorrelloom/core/wire"
 )
 
-// primaryOf returns the node whose replica serves, nil if none does.
+// primaryOf returns the first node that is up and whose replica serves as primary, nil if
+// there is none.
 func primaryOf(nodes []*node) *node {
 	for _, n := range nodes {
 		if r := n.replica(); r != nil && n.state == up && r.Serving() {
@@ -17,8 +18,8 @@
 	return nil
 }
 
-// allMembersUp reports whether every voter of the newest view is a replica that is up:
-// only then may another disk be lost.
+// allMembersUp reports whether the replicas of all voters of the newest view are up. Only
+// then may a fault destroy another disk.
 func allMembersUp(nodes []*node) bool {
 	var newest wire.View
 	alive := map[string]bool{}
@@ -40,16 +41,16 @@
 	return newest.Epoch > 0
 }
 
-// healthy reports whether a node is up, neither frozen nor cut off, and its disk as fast
-// as usual.
+// healthy reports whether a node is up, not frozen, has no blocked links, and has a disk of
+// normal speed.
 func (w *World) healthy(n *node) bool {
 	return !n.faultyDuring(w.Now, w.Now) && n.diskSlowFactor <= 1
 }
 
-// canCommit reports whether one of the replicas leads and could commit now: it and a
-// second member of its view are healthy. A replica that came back with an empty disk has
-// a new identity and is no member until a view names it, so it can neither acknowledge a
-// write nor vote for a view.
+// canCommit reports whether one of the replicas leads and could commit now, which requires
+// that it and a second member of its view are healthy. A replica that restarted with an
+// empty disk has a new identity. Until a view includes it, it is not a member, and can
+// neither acknowledge a write nor vote for a view.
 func (w *World) canCommit(replicas []*node) bool {
 	return slices.ContainsFunc(replicas, func(leader *node) bool {
 		r := leader.replica()
--- a/tool/sim/lifecycle.go
+++ b/tool/sim/lifecycle.go
@@ -6,11 +6,11 @@
 	"sorrelloom/core/machine"
 )
 
-// freezeDelay is how long a process that is being frozen still decides: what it
-// decides then is sent only when it goes on.
+// freezeDelay is the time for which a process that is being frozen still takes steps.
+// Messages of these steps are sent only when it is unfrozen.
 const freezeDelay = 20 * time.Millisecond
 
-// Kill ends a process and loses the writes that were not synced, as a loss of power does.
+// Kill ends a process and loses the writes that were not synced, like a power failure.
 func (w *World) Kill(n *node) {
 	if n.state != down {
 		w.logf("kill %s", n.name)
@@ -26,13 +26,14 @@
 	w.recordFault(n)
 }
 
-// KillProcess ends a process whose computer goes on: writes under way are finished.
+// KillProcess ends a process while its computer keeps running, so that pending writes still
+// reach the disk.
 func (w *World) KillProcess(n *node) {
 	w.Kill(n)
 	n.writesSurvive = true
 }
 
-// Stop asks a daemon to hand over and end.
+// Stop asks a daemon to hand over its role and shut down.
 func (w *World) Stop(n *node) {
 	w.runIn(n, n.incarnation, func() { w.step(n, machine.Input{Stop: true}, false) })
 }
@@ -44,8 +45,8 @@
 	n.disk = emptyDisk()
 }
 
-// Freeze stops a process between deciding and sending: what it decides within the
-// freeze delay is sent only when it goes on.
+// Freeze suspends a process between a decision and the sending of its messages: for
+// freezeDelay it still takes steps, but their messages are sent only when it is unfrozen.
 func (w *World) Freeze(n *node) {
 	if n.state != up || n.outputHeld {
 		return
@@ -61,7 +62,8 @@
 	})
 }
 
-// Unfreeze lets a frozen process go on with all that came meanwhile.
+// Unfreeze resumes a frozen process: it sends the held messages, and then executes the work
+// that arrived meanwhile.
 func (w *World) Unfreeze(n *node) {
 	if n.state == down || !n.outputHeld {
 		return
@@ -80,7 +82,7 @@
 	if n.sender != nil {
 		n.sender.sendNext()
 	}
-	for _, task := range deferred {
-		w.execute(n, task)
+	for _, item := range deferred {
+		w.execute(n, item)
 	}
 }
--- a/tool/sim/measurements.go
+++ b/tool/sim/measurements.go
@@ -12,8 +12,8 @@
 	"sorrelloom/tool/fakeworker"
 )
 
-// Measurements are measurements in simulated time, by name. Each plays pairs of runs: the
-// same seed with one thing changed. They print figures and judge nothing.
+// Measurements are measurements in simulated time, by name. Most play pairs of runs that
+// have the same seed and differ in one setting. They print figures, and check nothing.
 var Measurements = map[string]func(out io.Writer, deployment deploy.Deployment, seeds int){
 	"quick-beside-batch": measureQuickBesideBatch,
 	"inboxes":            measureQueuePlacement,
@@ -21,7 +21,7 @@
 	"lost-worker":        measureLostWorkers,
 }
 
-// summarize sorts values, and returns their least, median and largest.
+// summarize sorts values, and returns a text with their minimum, median and maximum.
 func summarize(values []float64) string {
 	sort.Float64s(values)
 	if len(values) == 0 {
@@ -30,7 +30,8 @@
 	return fmt.Sprintf("min %.1f median %.1f max %.1f", values[0], values[len(values)/2], values[len(values)-1])
 }
 
-// percentile sorts values, and returns the one with a rank between 0 and 1.
+// percentile sorts values, and returns the one at a rank between 0 and 1, NaN if there are
+// none.
 func percentile(values []float64, rank float64) float64 {
 	sort.Float64s(values)
 	if len(values) == 0 {
@@ -39,8 +40,8 @@
 	return values[min(len(values)-1, int(rank*float64(len(values))))]
 }
 
-// measureQuickBesideBatch plays each seed without and with a wave of long work that would
-// fill all slots for most of the run.
+// measureQuickBesideBatch measures the start latency of quick jobs. It plays each seed
+// without and with a burst of long jobs that would fill all slots for most of the run.
 func measureQuickBesideBatch(out io.Writer, deployment deploy.Deployment, seeds int) {
 	long := deployment.Traffic[longTraffic]
 	long.StepWidths, long.Cores = []int{1}, 1
@@ -69,9 +70,10 @@
 		percentile(r.QuickStartMillis, .99), percentile(r.QuickStartMillis, 1))
 }
 
-// measureQueuePlacement gives 60 jobs of two steps with 4 and 4 tasks at once, with one
-// straggler, to a queue for each worker with stealing, and to one central queue. Inputs
-// that another worker holds cost nothing, or 50 ms each beside 400 ms of work.
+// measureQueuePlacement compares one queue per worker, with stealing, to one central queue.
+// 60 jobs with two steps of 4 tasks each are submitted at once, and one worker is slow.
+// Fetching an input that another worker holds takes no time, or 50 ms in addition to 400 ms
+// of work.
 func measureQueuePlacement(out io.Writer, deployment deploy.Deployment, seeds int) {
 	for _, fetchMillis := range []int64{0, 50} {
 		fmt.Fprintf(out, "fetchMs=%d\n", fetchMillis)
@@ -79,10 +81,10 @@
 	}
 }
 
-// grantRejectedEvent is the log event of a scheduler whose grant was rejected.
+// grantRejectedEvent is the name of the event that a scheduler logs when a grant is rejected.
 const grantRejectedEvent = "grant_rejected"
 
-// queuesSubmitAt is when the jobs of measureQueuePlacement are submitted.
+// queuesSubmitAt is the time at which measureQueuePlacement submits its jobs.
 const queuesSubmitAt = 8 * time.Second
 
 func measureQueuesWithFetch(out io.Writer, deployment deploy.Deployment, seeds int, fetchMillis int64) {
@@ -108,8 +110,8 @@
 	}
 }
 
-// submitTwoStepJobs submits the jobs of measureQueuePlacement, after one worker was made
-// slow.
+// submitTwoStepJobs schedules the jobs of measureQueuePlacement, and makes one worker slow a
+// second before.
 func (s *FleetScenario) submitTwoStepJobs(fetchMillis int64) {
 	traffic := s.options.Deployment.Traffic[batchTraffic]
 	traffic.StepWidths, traffic.RunMillis, traffic.Cores = []int{4, 4}, 400, 1
@@ -128,14 +130,14 @@
 	}
 }
 
-// failoverProbe is a run of measureFailover: when the primary was killed, and the jobs
-// submitted from then on.
+// failoverProbe records a run of measureFailover: the time at which the primary was killed,
+// and the jobs that were submitted at a steady rate.
 type failoverProbe struct {
 	killedAt time.Duration
 	jobs     []*clientJob
 }
 
-// prepare kills the primary, and submits jobs at a steady rate.
+// prepare schedules the kill of the primary, and jobs at a steady rate.
 func (p *failoverProbe) prepare(s *FleetScenario, killAt time.Duration) {
 	s.world.At(killAt, func() {
 		p.killedAt = s.world.Now
@@ -151,8 +153,8 @@
 	}
 }
 
-// measure returns how long after the kill, in milliseconds, the first job that was
-// submitted after it was accepted, and one was started.
+// measure considers the jobs that were submitted after the kill, and returns the time in ms
+// from the kill until the first of them was accepted, and until the first was started.
 func (p *failoverProbe) measure(result Result) (accepted, started float64) {
 	firstAccepted, firstStarted := time.Duration(math.MaxInt64), time.Duration(math.MaxInt64)
 	for _, job := range p.jobs {
@@ -168,8 +170,8 @@
 	return millisSinceKill(firstAccepted), millisSinceKill(firstStarted)
 }
 
-// measureFailover kills the primary and measures until the next accepted job and the next
-// start of a job submitted after the kill.
+// measureFailover kills the primary, and measures the time until the first job that is
+// submitted afterwards is accepted, and until the first is started.
 func measureFailover(out io.Writer, deployment deploy.Deployment, seeds int) {
 	runs, probes := make([]Options, seeds), make([]failoverProbe, seeds)
 	for i := range runs {
@@ -188,10 +190,10 @@
 		summarize(accepted), summarize(started))
 }
 
-// measureLostWorkers crashes three workers for good and measures, by class, from the end
-// of each run that was lost to the task's next start: where attempts are started again
-// when the lease has expired, and with the configuration's choices, where an operator
-// confirms the workers dead 20 s after the crash.
+// measureLostWorkers crashes three workers for good, and measures, by class, the time from
+// the loss of each run to the next start of its task. It compares two policies: all classes
+// restart lost attempts when the lease expires, or the configuration decides by class. An
+// operator confirms the workers dead 20 s after the crash.
 func measureLostWorkers(out io.Writer, deployment deploy.Deployment, seeds int) {
 	var runs []Options
 	for seed := range uint64(seeds) {
@@ -215,8 +217,8 @@
 	}
 }
 
-// loseThreeWorkers crashes three workers, which an operator confirms dead later; byLease
-// has all classes start lost attempts again when the lease has expired.
+// loseThreeWorkers schedules the crash of three workers, which an operator confirms dead 20 s
+// later. byLease configures all classes to restart lost attempts when their lease expires.
 func (s *FleetScenario) loseThreeWorkers(byLease bool) {
 	if byLease {
 		s.world.At(5*time.Second, func() {
--- a/tool/sim/network.go
+++ b/tool/sim/network.go
@@ -9,13 +9,13 @@
 	"sorrelloom/core/wire"
 )
 
-// Network latency: a base, and up to as much again by chance.
+// Minimum network latency. A random jitter of up to the same duration is added.
 const (
 	latencyWithinZone   = 200 * time.Microsecond
 	latencyBetweenZones = time.Millisecond
 )
 
-// latency draws how long a message takes between two zones.
+// latency returns a random latency for a message between two zones.
 func (w *World) latency(from, to string) time.Duration {
 	base := latencyWithinZone
 	if from != to {
@@ -24,10 +24,10 @@
 	return base + time.Duration(w.rng.Int64N(int64(base)))
 }
 
-// BlockLink drops what goes from one address to another.
+// BlockLink drops all messages from one address to another until UnblockLink.
 func (w *World) BlockLink(from, to string) { w.setBlocked(link{from, to}, true) }
 
-// UnblockLink ends what BlockLink began.
+// UnblockLink undoes BlockLink.
 func (w *World) UnblockLink(from, to string) { w.setBlocked(link{from, to}, false) }
 
 // Isolate blocks all links from and to a node.
@@ -38,31 +38,32 @@
 
 func (w *World) isBlocked(from, to string) bool { return w.blockedLinks[link{from, to}] }
 
-func (w *World) setBlocked(way link, blocked bool) {
-	if w.blockedLinks[way] == blocked {
+func (w *World) setBlocked(l link, blocked bool) {
+	if w.blockedLinks[l] == blocked {
 		return
 	}
 	change := 1
 	if blocked {
-		w.blockedLinks[way] = true
+		w.blockedLinks[l] = true
 	} else {
-		delete(w.blockedLinks, way)
+		delete(w.blockedLinks, l)
 		change = -1
 	}
-	from, fromNode := w.nodes[way.from]
-	to, toNode := w.nodes[way.to]
+	from, fromNode := w.nodes[l.from]
+	to, toNode := w.nodes[l.to]
 	if fromNode && toNode {
-		from.blockedLinks += change
-		to.blockedLinks += change
+		from.blockedLinkCount += change
+		to.blockedLinkCount += change
 		w.recordFault(from)
 		w.recordFault(to)
 	}
 }
 
-// addresses lists the addresses of all nodes in a fixed order.
+// addresses returns the addresses of all nodes, sorted.
 func (w *World) addresses() []string { return slices.Sorted(maps.Keys(w.nodes)) }
 
-// eachLink calls a function for every link between a node and another one.
+// eachLink calls a function for every link between a node and other nodes, in both
+// directions.
 func (w *World) eachLink(address string, do func(from, to string)) {
 	for other := range w.nodes {
 		if other != address {
@@ -72,13 +73,13 @@
 	}
 }
 
-// encodedMessage is a message to send, with its body once it has been encoded.
+// encodedMessage is a message to send. body is its encoded body, nil until it is encoded.
 type encodedMessage struct {
 	message machine.OutgoingMessage
 	body    []byte
 }
 
-// encode encodes the body of a message, and charges the processor for it.
+// encode encodes the body of a message, and charges its cost to the processor.
 func (w *World) encode(n *node, message machine.OutgoingMessage) encodedMessage {
 	if w.rewrite != nil {
 		message = w.rewrite(n, message)
@@ -88,7 +89,8 @@
 	return encoded
 }
 
-// send sends a message of a node, or hands it to the node itself.
+// send sends a message of a node. A message to the node itself is delivered without the
+// network.
 func (w *World) send(n *node, encoded encodedMessage) {
 	outgoing, body := encoded.message, encoded.body
 	if w.intercept != nil && w.intercept(n, outgoing) {
@@ -115,7 +117,7 @@
 	w.transmit(n, outgoing.To, message)
 }
 
-// transmit puts a message on its way unless the link is blocked or held.
+// transmit sends a message over the network, unless its link is blocked or held.
 func (w *World) transmit(n *node, address string, message machine.Message) {
 	to, ok := w.nodes[address]
 	if !ok || w.isBlocked(n.address, address) || w.hold(n.address, address, message) {
@@ -132,28 +134,28 @@
 	})
 }
 
-// arrivalTime draws when something that is sent at a time arrives: after all that was
-// sent on the same link before it.
+// arrivalTime returns a random arrival time for data that is sent at a time. Links are
+// FIFO: the data arrives after everything that was sent on the same link before it.
 func (w *World) arrivalTime(from, to *node, sentAt time.Duration) time.Duration {
-	way := link{from.address, to.address}
-	arrival := max(sentAt+w.latency(from.zone, to.zone), w.lastDelivery[way]+time.Nanosecond)
-	w.lastDelivery[way] = arrival
+	l := link{from.address, to.address}
+	arrival := max(sentAt+w.latency(from.zone, to.zone), w.lastDelivery[l]+time.Nanosecond)
+	w.lastDelivery[l] = arrival
 	return arrival
 }
 
-// deliver hands a message to a node; done, if set, is called when the node is done with
-// it.
+// deliver passes a message to a node. done, if not nil, is called when the node has
+// processed the message.
 func (w *World) deliver(to *node, message machine.Message, done func()) {
 	key := ""
 	if w.hardware != nil && w.hardware.QueuePolicy.CoalescingKey != nil {
 		key = w.hardware.QueuePolicy.CoalescingKey(message)
 	}
-	task := work{kind: message.Kind, from: message.From, coalescingKey: key, done: done}
-	task.run = func() {
+	item := workItem{kind: message.Kind, from: message.From, coalescingKey: key, done: done}
+	item.run = func() {
 		toMembership := message.Kind == wire.KindShuffle || message.Kind == wire.KindShuffleReply
 		if !toMembership || to.membership != nil {
 			w.step(to, machine.Input{Message: message}, toMembership)
 		}
 	}
-	w.enqueue(to, to.incarnation, task)
+	w.enqueue(to, to.incarnation, item)
 }
--- a/tool/sim/node.go
+++ b/tool/sim/node.go
@@ -16,7 +16,8 @@
 	"sorrelloom/core/wire"
 )
 
-// Roles of nodes. The values are parts of node names and, for members, of messages.
+// Roles of nodes. The values are part of node names. Those of members of the gossip
+// membership are also sent in messages.
 const (
 	roleReplica      = wire.RoleReplica
 	roleScheduler    = wire.RoleScheduler
@@ -27,8 +28,8 @@
 	roleAgent        = "side"
 )
 
-// membershipRoles are the roles of nodes in the gossip membership. Leader clients and
-// agents are no members.
+// membershipRoles maps the roles of nodes to their roles in the gossip membership. Leader
+// clients and agents are not members.
 var membershipRoles = map[string]string{
 	roleReplica:      roleReplica,
 	roleScheduler:    roleScheduler,
@@ -37,7 +38,7 @@
 	roleControlProxy: roleControlProxy,
 }
 
-// runState says whether the process of a node runs.
+// runState is the state of a node's process.
 type runState int
 
 const (
@@ -46,31 +47,32 @@
 	down
 )
 
-// node is one simulated daemon: its process, its disk and what is wrong with them.
+// node is one simulated daemon: its process, its disk, its clock, and the faults in force.
 type node struct {
 	name, role, zone, address string
 	seeds                     []string
-	founders                  []string // bootstrap members, of replicas and control processes
+	founders                  []string // bootstrap members; only for replicas and control processes
 
 	// The process. Each start of it is an incarnation.
 	state       runState
 	incarnation uint64
 	bootedAt    time.Duration
 	machine     machine.Machine
-	membership  *membership.Gossiper // nil if the node is no member
-	processor   *processor           // nil if work takes no time
+	membership  *membership.Gossiper // nil if the node is not in the gossip membership
+	processor   *processor           // nil if processing takes no time
 	sender      *sender
 	pastUsage   Usage // of earlier incarnations
-	// configVersion is the last configuration version that was observed.
+	// configVersion is the last configuration version that was observed on the node.
 	configVersion   uint64
 	timerGeneration uint64
 	timerAt         time.Duration
 	pendingRequests map[uint64]func(any) // by request ID
 
-	// A freeze takes effect between deciding and sending: output is held first.
+	// While a process is being frozen, it still takes steps, but its messages are held. This
+	// simulates a pause between a decision and the sending of its messages.
 	outputHeld   bool
 	heldMessages []encodedMessage
-	deferredWork []work // what came while the process was frozen
+	deferredWork []workItem // arrived while the process was frozen
 
 	// The disk and the clock.
 	disk            machine.MemoryDisk
@@ -78,31 +80,31 @@
 	diskLosesWrites bool // acknowledges writes and drops them
 	diskStalled     bool
 	diskFull        bool
-	writesSurvive   bool // writes under way reach the disk though the process was killed
+	writesSurvive   bool // pending writes reach the disk after the process was killed
 	wallSkew        time.Duration
 
-	// blockedLinks is how many links from or to other nodes are blocked.
-	blockedLinks int
-	// faults are the times in which the node was down, frozen or cut off.
+	// blockedLinkCount is the number of blocked links from or to other nodes.
+	blockedLinkCount int
+	// faults are the times in which the node was down, frozen, or had a blocked link.
 	faults spans
 }
 
-// recordFault notes whether the node is in fault now.
+// recordFault updates the node's faults after a change of its state or its links.
 func (w *World) recordFault(n *node) {
-	if n.state != up || n.outputHeld || n.blockedLinks > 0 {
+	if n.state != up || n.outputHeld || n.blockedLinkCount > 0 {
 		n.faults.begin(w.Now)
 	} else {
 		n.faults.end(w.Now)
 	}
 }
 
-// faultyDuring reports whether the node was in fault between two moments.
+// faultyDuring reports whether the node was in fault at any time in a closed interval.
 func (n *node) faultyDuring(from, to time.Duration) bool { return n.faults.anyTouches(from, to) }
 
-// localTime is the time by the node's own clock, which starts with its process.
+// localTime returns the time on the node's own clock, which starts with its process.
 func (n *node) localTime(now time.Duration) time.Duration { return now - n.bootedAt + time.Microsecond }
 
-// replica returns the replica that runs in the node, nil if none does.
+// replica returns the replica that runs in the node, nil if its role has none.
 func (n *node) replica() *replica.Replica {
 	switch m := n.machine.(type) {
 	case *replica.Replica:
@@ -113,7 +115,8 @@
 	return nil
 }
 
-// logIndex is how many commands the replica of the node has applied.
+// logIndex returns the log index up to which the replica of the node has applied commands,
+// 0 if the node has no replica.
 func (n *node) logIndex() uint64 {
 	if r := n.replica(); r != nil {
 		return r.Store().Position().Index
@@ -129,7 +132,7 @@
 	_ configVersioner = (*gateway.Gateway)(nil)
 )
 
-// AddNode places a daemon and boots it.
+// AddNode adds a daemon with an empty disk and boots it.
 func (w *World) AddNode(role, name, zone, address string, seeds, founders []string) *node {
 	n := &node{
 		name: name, role: role, zone: zone, address: address, seeds: seeds, founders: founders,
@@ -140,7 +143,8 @@
 	return n
 }
 
-// Boot starts the process of a node on what its disk holds.
+// Boot starts the process of a node from the contents of its disk. It does nothing if the
+// process is not down, or if the disk is full.
 func (w *World) Boot(n *node) {
 	if n.state != down || n.diskFull {
 		return
@@ -155,7 +159,7 @@
 	w.logf("boot %s %s", n.name, id)
 	w.startMembership(n, id, bootID)
 	n.processor = w.newProcessor(n)
-	w.execute(n, work{run: func() {
+	w.execute(n, workItem{run: func() {
 		if n.processor != nil {
 			n.processor.chargeLoad(n.storedRecords())
 		}
@@ -166,8 +170,9 @@
 	}})
 }
 
-// startMachine makes the state machine of the node's role, and returns the identity
-// of the node: that of its disk, a fresh one, or its address.
+// startMachine creates the state machine for the node's role, and returns the identity of
+// the node: for replicas and control processes the one on their disk, or a new one if the
+// disk is empty; for proxies a new one; for other roles the address.
 func (w *World) startMachine(n *node, bootID uint64) (id string) {
 	freshID := fmt.Sprintf("%s-%d-%x", n.name, n.incarnation, bootID)
 	switch n.role {
@@ -176,7 +181,7 @@
 			Address: n.address, Zone: n.zone, Founders: n.founders, NewID: freshID, BootID: bootID,
 		}, n.disk.Load())
 		if err != nil {
-			panic(fmt.Sprintf("start %s on its own disk: %v", n.name, err))
+			panic(fmt.Sprintf("start %s from its disk: %v", n.name, err))
 		}
 		n.machine = r
 		return r.ID()
@@ -186,7 +191,7 @@
 			BackupCount: w.backupCount,
 		}, n.disk.Load())
 		if err != nil {
-			panic(fmt.Sprintf("start %s on its own disk: %v", n.name, err))
+			panic(fmt.Sprintf("start %s from its disk: %v", n.name, err))
 		}
 		n.machine = c
 		return c.ID()
@@ -211,12 +216,12 @@
 	return n.address
 }
 
-// membershipEpoch lets incarnations in the membership be positive though clocks are
-// set back.
+// membershipEpoch is added to the clock so that incarnations in the membership stay positive
+// when clocks are set back.
 const membershipEpoch = 1000 * time.Hour
 
-// startMembership makes the gossip membership of a node whose role has one. The
-// incarnation is the node's time of day, as it is for the daemons.
+// startMembership creates the gossip membership of a node if its role takes part in it. The
+// incarnation is the node's wall-clock time, as in the real daemons.
 func (w *World) startMembership(n *node, id string, seed uint64) {
 	n.membership = nil
 	role := membershipRoles[n.role]
--- a/tool/sim/parallel.go
+++ b/tool/sim/parallel.go
@@ -6,13 +6,14 @@
 	"sorrelloom/daemon/pool"
 )
 
-// maxParallelRuns is how many runs are played at once.
+// maxParallelRuns is the largest number of runs at a time.
 const maxParallelRuns = 8
 
-// PlayFleets plays several fleet scenarios at once; each is a world of its own.
+// PlayFleets plays fleet scenarios in parallel, each in its own world, and returns their
+// results in order.
 func PlayFleets(runs []Options) []Result { return playParallel(runs, PlayFleet) }
 
-// playParallel plays several runs at once, and returns their results in order.
+// playParallel plays runs in parallel, and returns their results in order.
 func playParallel(runs []Options, play func(Options) Result) []Result {
 	results := make([]Result, len(runs))
 	slots := make(chan struct{}, maxParallelRuns)
--- a/tool/sim/processor_test.go
+++ b/tool/sim/processor_test.go
@@ -10,7 +10,7 @@
 	"sorrelloom/core/wire"
 )
 
-// recorder is a machine that notes what comes and when.
+// recorder is a state machine that records the kinds of the messages it receives, and when.
 type recorder struct {
 	kinds []string
 	at    []time.Duration
@@ -26,7 +26,8 @@
 	return machine.Output{}
 }
 
-// newPair makes a world of a sender and a receiver, with nothing else in it.
+// newPair returns a world that contains only a sender and a receiver, and the receiver's
+// recorder.
 func newPair(hardware *Hardware) (w *World, from, to *node, got *recorder) {
 	w = NewWorld(1)
 	w.hardware = hardware
@@ -40,13 +41,14 @@
 	return w, add("a", &recorder{}), add("b", got), got
 }
 
-// sendText sends a message of a size to the receiver.
+// sendText sends a message with a text of size bytes to the receiver.
 func (w *World) sendText(from *node, kind string, size int) {
 	body := machine.MustJSON(strings.Repeat("x", size))
 	w.send(from, encodedMessage{machine.OutgoingMessage{To: "b", Kind: kind}, body})
 }
 
-// slowReader is hardware on which each message takes a time to be read.
+// slowReader returns hardware on which reading a message takes a given processor time, and a
+// process has half a core.
 func slowReader(each time.Duration) *Hardware {
 	links := Links{BytesPerSecond: 1_000_000, Window: 100_000, WriteTimeout: 3 * time.Second, QueueMax: 100}
 	return &Hardware{Share: 0.5, Costs: Costs{ReadMessage: each}, Links: links}
@@ -59,11 +61,11 @@
 	}
 	w.RunUntil(2 * time.Second)
 	if len(got.at) != 5 {
-		t.Fatalf("%d of 5 messages were taken", len(got.at))
+		t.Fatalf("%d of 5 messages were processed", len(got.at))
 	}
 	for i := 1; i < 5; i++ {
 		if gap := got.at[i] - got.at[i-1]; gap != 200*time.Millisecond {
-			t.Errorf("message %d is taken %s after the one before; half a core takes 200ms for 100ms of work", i, gap)
+			t.Errorf("message %d is processed %s after the one before, want 200ms: 100ms of work on half a core", i, gap)
 		}
 	}
 }
@@ -85,7 +87,7 @@
 	w.RunUntil(2 * time.Second)
 	want := []string{wire.KindHeartbeat, wire.KindReplicate, wire.KindReplicate}
 	if !slices.Equal(got.kinds, want) {
-		t.Errorf("taken are %v, want %v: members' messages first, heartbeats older than 400ms not at all", got.kinds, want)
+		t.Errorf("processed %v, want %v: replicate messages first, heartbeats older than 400ms dropped", got.kinds, want)
 	}
 }
 
@@ -100,7 +102,7 @@
 	}
 	w.RunUntil(2 * time.Second)
 	if len(got.kinds) != 3 {
-		t.Errorf("%d heartbeats are taken, want 3: the one at work, the newest of a, and that of c", len(got.kinds))
+		t.Errorf("%d heartbeats processed, want 3: the first of a, the newest of a, and that of c", len(got.kinds))
 	}
 }
 
@@ -113,6 +115,6 @@
 	}
 	w.RunUntil(time.Second)
 	if waits := len(to.processor.queue); waits != 3 || from.sender.connections[0].inFlight > 0 {
-		t.Errorf("%d messages wait, want 3; %d bytes are on their way", waits, from.sender.connections[0].inFlight)
+		t.Errorf("%d messages queued, want 3; %d bytes in flight, want 0", waits, from.sender.connections[0].inFlight)
 	}
 }
--- a/tool/sim/records.go
+++ b/tool/sim/records.go
@@ -8,7 +8,8 @@
 	"sorrelloom/tool/fakeworker"
 )
 
-// Records are what was noted of a real fleet, by one clock.
+// Records is the history of a real fleet, as workers, clients and operators recorded it. All
+// times are by the same clock.
 type Records struct {
 	Runs           []fakeworker.Run
 	Workers        []fakeworker.Config
@@ -17,28 +18,30 @@
 	LeavingWorkers []WorkerDrain
 }
 
-// JobRecord is a job as its client saw it; CancelledAt and EndedAt are when the replies
-// came, zero if none did.
+// JobRecord is a job as its client saw it. CancelledAt and EndedAt are the times at which
+// the client received the replies that say so, zero if it received none.
 type JobRecord struct {
 	Spec                 state.JobSpec
 	CancelledAt, EndedAt time.Duration
 	State                string
 }
 
-// ZoneDrain is a zone from the request to drain it to the request to refill it.
+// ZoneDrain is the interval from the request to drain a zone to the request to refill it.
 type ZoneDrain struct {
 	Zone     string
 	From, To time.Duration
 }
 
-// WorkerDrain is a worker from its or the operator's word that it leaves on.
+// WorkerDrain is the interval in which a worker drains. It begins when the worker or an
+// operator announces that the worker leaves.
 type WorkerDrain struct {
 	Worker   string
 	From, To time.Duration
 }
 
-// CheckRecords judges a real fleet, and returns how often each check had something to
-// judge. An end counts from when it happened, not from its acknowledgement.
+// CheckRecords runs the checks of the oracle on the history of a real fleet. It returns the
+// violations, and how often each check had something to judge. The end of a run counts from
+// when it happened, not from its acknowledgement.
 func CheckRecords(records Records) ([]Violation, map[string]int) {
 	o := newOracle()
 	for _, config := range records.Workers {
--- a/tool/sim/request.go
+++ b/tool/sim/request.go
@@ -7,15 +7,16 @@
 	"sorrelloom/core/machine"
 )
 
-// refusedDelay is how long a client takes to notice that a daemon does not run.
+// refusedDelay is the time after which a client's connection to a daemon that does not run
+// is refused.
 const refusedDelay = 2 * time.Millisecond
 
-// client is who sends a request from outside: a name, which stands for its address in
-// blocked links, and the zone it is in.
+// client is the sender of a request from outside the cluster. Its name serves as its
+// address in blocked links; its zone determines the latency.
 type client struct{ name, zone string }
 
-// CallGateway sends an HTTP request to a gateway; done gets false when no reply came in
-// time.
+// CallGateway sends an HTTP request to a gateway. done is called once, with false if no
+// reply arrived before the timeout or the gateway was down.
 func (w *World) CallGateway(
 	from client, address string, request machine.Request, timeout time.Duration, done func(gateway.Reply, bool),
 ) {
@@ -29,8 +30,9 @@
 	})
 }
 
-// Request sends a request from outside to a node. observe sees the reply as the node
-// gives it; done gets it when it arrives, or false when none came in time.
+// Request sends a request from outside the cluster to a node. observe is called with the
+// reply when the node gives it. done is called once: with the reply when it arrives, or with
+// false if none arrived before the timeout or the node was down.
 func (w *World) Request(
 	from client, address string, request machine.Request, timeout time.Duration,
 	observe func(any), done func(any, bool),
--- a/tool/sim/requirements.go
+++ b/tool/sim/requirements.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Requirement is one promise, by name: the checks that judge it, and the faults that bring
-// its failure about.
+// Requirement is one guarantee of the scheduler, with the checks that verify it and the
+// faults under which it is tested.
 type Requirement struct {
 	Name   string
-	Text   string // what must never happen
+	Text   string // the failure that must never happen
 	Checks []string
 	Faults string // as ParseFleetFaults takes them
 }
 
-// Requirements are all promises.
+// Requirements lists all requirements.
 var Requirements = []Requirement{
 	{
 		"forgotten", "a job we accepted is forgotten, or called unknown after a few seconds",
@@ -99,7 +99,7 @@
 	},
 }
 
-// Runs are the runs that test a requirement: one for each seed.
+// Runs returns the options of the runs that test a requirement, one for each seed.
 func (r Requirement) Runs(options Options, seeds []uint64) ([]Options, error) {
 	faults, err := ParseFleetFaults(r.Faults)
 	var runs []Options
@@ -110,8 +110,9 @@
 	return runs, err
 }
 
-// Verdict sums up the results of a requirement's runs. One that was not judged, or in
-// whose runs any check at all found a violation, does not hold.
+// Verdict reports whether a requirement holds in the results of its runs, with a line for
+// each violation and a summary. It does not hold if one of its checks judged nothing, or if
+// any check at all, also one of another requirement, found a violation.
 func (r Requirement) Verdict(results []Result) (holds bool, lines []string) {
 	judged, excused, broken := map[string]int{}, map[string]int{}, 0
 	for _, result := range results {
@@ -136,7 +137,7 @@
 		r.Name, holds, len(results), judged, excused, broken))
 }
 
-// RequirementByName finds a requirement.
+// RequirementByName returns the requirement with a name.
 func RequirementByName(name string) (Requirement, error) {
 	var names []string
 	for _, r := range Requirements {
@@ -145,5 +146,5 @@
 		}
 		names = append(names, r.Name)
 	}
-	return Requirement{}, fmt.Errorf("no line %q; there are %s", name, strings.Join(names, " "))
+	return Requirement{}, fmt.Errorf("no requirement %q; known requirements: %s", name, strings.Join(names, " "))
 }
--- a/tool/sim/result.go
+++ b/tool/sim/result.go
@@ -8,49 +8,52 @@
 	"sorrelloom/tool/fakeworker"
 )
 
-// Result is the judgement of one run and what the run went through.
+// Result holds the findings of the oracle about one run, and statistics of the run.
 type Result struct {
 	Seed       uint64
 	Violations []Violation
-	// Judged counts for each check how often it had something to judge, Excused what was
-	// left out, by check and reason.
+	// Judged counts how often each check had something to judge, by check. Excused counts
+	// the cases that a check left out, by check and reason.
 	Judged  map[string]int
 	Excused map[string]int
 
-	// Trace is a hash over all messages and replies, MessageCount how many messages were
-	// sent, LogCounts counts the log events of the nodes by name.
+	// Trace, MessageCount and LogCounts are those of the World.
 	Trace        uint64
 	MessageCount int
 	LogCounts    map[string]int
 
-	// Jobs were submitted; of these some were accepted, are done or failed.
+	// Jobs counts the submitted jobs. Accepted, Done and Failed count those of them that
+	// were accepted, and that their clients saw done or failed.
 	Jobs, Accepted, Done, Failed int
-	// Runs are those of all tasks; of these some failed or were stopped.
+	// Runs counts the runs of all tasks. FailedRuns and StoppedRuns count those of them that
+	// failed or were stopped.
 	Runs, FailedRuns, StoppedRuns int
 	RunsByWorker                  map[string]int
 	FailedRunsByWorker            map[string]int
-	// FirstStarts is when the first run of each job began.
+	// FirstStarts is the time at which the first run of each job began, by job ID.
 	FirstStarts map[string]time.Duration
-	// QuickStartMillis is how long quick jobs waited for their first run.
+	// QuickStartMillis is the time in ms from the submission of each quick job to the start
+	// of its first run.
 	QuickStartMillis []float64
-	// RestartMillis is how long lost attempts took to be started again, by class.
+	// RestartMillis is the time in ms from the loss of each attempt that was lost to the
+	// start of the next one, by class.
 	RestartMillis map[string][]float64
-	// LastEnd is when the last run ended that is not a probe's.
+	// LastEnd is the end of the last run, not counting the runs of probes.
 	LastEnd time.Duration
-	// Locality is the part of the inputs that were on the worker of their step.
+	// Locality is the fraction of task inputs that were held by the worker that ran the task.
 	Locality float64
 
-	// ConfigConflicts counts configuration changes that lost a race, Views is the epoch
-	// of the last view.
+	// ConfigConflicts counts configuration changes that were rejected because another change
+	// had come first. Views is the epoch of the last view.
 	ConfigConflicts int
 	Views           uint64
-	// LastFault is when the last fault of the daemons came, FaultsPlayed counts faults
+	// LastFault is the time of the last fault of the daemons. FaultsPlayed counts the faults
 	// by name.
 	LastFault    time.Duration
 	FaultsPlayed map[string]int
 }
 
-// countRuns fills in what is counted of the runs, which are in the order of their starts.
+// countRuns sets the statistics of the runs, which must be ordered by their starts.
 func (result *Result) countRuns(runs []run) {
 	for _, r := range runs {
 		result.RunsByWorker[r.Worker]++
@@ -70,7 +73,7 @@
 	}
 }
 
-// countJobs fills in what is counted of the jobs.
+// countJobs sets the statistics of the jobs. It needs FirstStarts.
 func (result *Result) countJobs(jobs []*clientJob) {
 	for _, job := range jobs {
 		if job.acceptedAt > 0 {
@@ -89,7 +92,8 @@
 	}
 }
 
-// measureRestarts fills in how long lost attempts took to be started again.
+// measureRestarts sets RestartMillis. A lost attempt is one whose run ended without an
+// outcome.
 func (result *Result) measureRestarts(runs []run) {
 	for _, lost := range runs {
 		if lost.Outcome != "" || lost.endedAt == 0 {
@@ -104,8 +108,8 @@
 	}
 }
 
-// takeJudgement fills in what the oracle found. A run in which nothing ran at all broke
-// its promise.
+// takeJudgement copies the findings of the oracle. A scenario in which no job was accepted
+// or no task ran is itself a violation.
 func (result *Result) takeJudgement(o *oracle) {
 	result.Violations, result.Judged, result.Excused = o.violations, o.judged, o.excused
 	if result.Accepted == 0 || result.Runs == 0 {
@@ -114,7 +118,8 @@
 	}
 }
 
-// measureLocality returns the part of the inputs that were on the worker of their step.
+// measureLocality returns the fraction of task inputs that were held by the worker that ran
+// the task. The worker on which a dependency succeeded holds its output.
 func (o *oracle) measureLocality() float64 {
 	holders := map[string]string{}
 	for _, r := range o.runs {
--- a/tool/sim/scenario.go
+++ b/tool/sim/scenario.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// diskRepairTime is how long after a lost disk no other one is taken.
+// diskRepairTime is the least time between two losses of a disk.
 const diskRepairTime = 20 * time.Second
 
-// scenario is what the scenarios of both compositions have: a world with its daemons, and
-// an oracle that notes what happens in it.
+// scenario is the common part of the scenarios of both compositions: a world with its
+// daemons, and an oracle that records what happens in it.
 type scenario struct {
 	oracle
 	options  Options
 	world    *World
 	zones    []string
-	replicas []*node // or the control processes, each of which is a replica too
+	replicas []*node // in the control composition, the control processes
 
-	requestCount int // operators' requests, which numbers their idempotency keys
-	replacements int // daemons that were replaced, which numbers their addresses
+	requestCount int // operators' requests so far; numbers their idempotency keys
+	replacements int // daemons replaced so far; numbers the addresses of the new ones
 	lastFaultAt  time.Duration
-	// nextDiskLossAt is when another disk may be lost.
+	// nextDiskLossAt is the earliest time at which another disk may be lost.
 	nextDiskLossAt time.Duration
 }
 
@@ -32,16 +32,19 @@
 	return s
 }
 
-// runToEnd runs a prepared world until all jobs have ended, or the time for that is over.
+// runToEnd runs the prepared world until probeDuration after the probes are submitted, and
+// then until all jobs that can end have ended, but no longer than s.end. It sets s.end to
+// the time at which the run stopped.
 func (s *scenario) runToEnd() {
-	s.world.RunUntil(s.options.Duration + recoveryBound + probesRun)
+	s.world.RunUntil(s.options.Duration + recoveryBound + probeDuration)
 	for s.world.Now < s.end && s.hasOpenJobs() {
 		s.world.RunUntil(s.world.Now + time.Second)
 	}
 	s.end = s.world.Now
 }
 
-// hasOpenJobs reports whether a job that can end has not ended yet.
+// hasOpenJobs reports whether any job that can end has not ended yet. Jobs that were
+// rejected, or that no worker can run, don't count.
 func (s *scenario) hasOpenJobs() bool {
 	return slices.ContainsFunc(s.jobs, func(job *clientJob) bool {
 		return job.endedAt == 0 && job.rejection == 0 && !job.impossible
@@ -50,31 +53,31 @@
 
 func (s *scenario) zoneOf(i int) string { return s.zones[i%len(s.zones)] }
 
-// idempotencyKey makes a key for an operator's request.
+// idempotencyKey returns a new key for an operator's request.
 func (s *scenario) idempotencyKey() string {
 	s.requestCount++
 	return fmt.Sprintf("ask-%d", s.requestCount)
 }
 
-// primary returns the replica that serves, nil if none does.
+// primary returns the replica that serves as primary, nil if none does.
 func (s *scenario) primary() *node { return primaryOf(s.replicas) }
 
-// randomReplica draws a replica.
+// randomReplica returns a replica chosen at random.
 func (s *scenario) randomReplica() *node { return s.replicas[s.world.rng.IntN(len(s.replicas))] }
 
-// randomDaemon draws a daemon.
+// randomDaemon returns a daemon chosen at random.
 func (s *scenario) randomDaemon() *node { return s.daemons[s.world.rng.IntN(len(s.daemons))] }
 
-// replaceDaemon puts a daemon in the place of another one.
+// replaceDaemon replaces one daemon by another in the list of daemons.
 func (s *scenario) replaceDaemon(old, replacement *node) {
 	if i := slices.Index(s.daemons, old); i >= 0 {
 		s.daemons[i] = replacement
 	}
 }
 
-// takeDisk reports whether a disk may be lost now, and if so, has none other be lost until
-// it is repaired: every voter of the newest view must be up, since no more than one disk
-// may be missing.
+// takeDisk reports whether a fault may destroy a disk now. If so, it lets no other fault do
+// so for diskRepairTime. No more than one disk may be missing at a time, so every voter of
+// the newest view must be up.
 func (s *scenario) takeDisk() bool {
 	if s.world.Now < s.nextDiskLossAt || !allMembersUp(s.replicas) {
 		return false
@@ -83,16 +86,17 @@
 	return true
 }
 
-// degrade notes that speed is not judged for a while.
+// degrade excludes a time from now on from the checks of latency.
 func (s *scenario) degrade(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
 
-// degradeDaemons is degrade for a fault of the daemons themselves.
+// degradeDaemons is degrade for a fault of the daemons themselves. It also records now as
+// the time of the last such fault.
 func (s *scenario) degradeDaemons(duration time.Duration) {
 	s.degrade(duration)
 	s.lastFaultAt = max(s.lastFaultAt, s.world.Now)
 }
 
-// newResult sums a run up, after the oracle has judged it.
+// newResult returns the summary of a run that the oracle has judged.
 func (s *scenario) newResult() Result {
 	result := Result{
 		Seed: s.world.Seed, Trace: s.world.Trace, MessageCount: s.world.MessageCount, LogCounts: s.world.LogCounts,
--- a/tool/sim/step.go
+++ b/tool/sim/step.go
@@ -6,24 +6,25 @@
 	"sorrelloom/core/machine"
 )
 
-// runIn runs a function in an incarnation of a node: later if the node is frozen, never
-// if that incarnation has ended.
+// runIn runs a function in an incarnation of a node. If the node is frozen, the function
+// runs once it is unfrozen; if the incarnation has ended, it never runs.
 func (w *World) runIn(n *node, incarnation uint64, do func()) {
-	w.enqueue(n, incarnation, work{run: do})
+	w.enqueue(n, incarnation, workItem{run: do})
 }
 
-// enqueue gives work to an incarnation of a node.
-func (w *World) enqueue(n *node, incarnation uint64, task work) {
+// enqueue executes a work item in an incarnation of a node, under the conditions of runIn.
+func (w *World) enqueue(n *node, incarnation uint64, item workItem) {
 	switch {
 	case n.incarnation != incarnation || n.state == down:
 	case n.state == frozen:
-		n.deferredWork = append(n.deferredWork, task)
+		n.deferredWork = append(n.deferredWork, item)
 	default:
-		w.execute(n, task)
+		w.execute(n, item)
 	}
 }
 
-// step gives an input to the membership or to the state machine of a node.
+// step passes an input to the membership or to the state machine of a node, and handles
+// the output.
 func (w *World) step(n *node, in machine.Input, toMembership bool) {
 	target := n.machine
 	if toMembership {
@@ -52,8 +53,9 @@
 	}
 }
 
-// deferOutput charges a step to the processor, and has its output applied once that is
-// paid for.
+// deferOutput charges a step to the processor, and schedules its output to be applied once
+// the processor has spent that time. Messages are encoded here so that encoding is charged
+// too.
 func (w *World) deferOutput(n *node, in machine.Input, commands int, out machine.Output, toMembership bool) {
 	n.processor.chargeStep(in, commands, out)
 	messages := make([]encodedMessage, 0, len(out.Messages))
@@ -63,8 +65,9 @@
 	n.processor.outputs = append(n.processor.outputs, func() { w.applyOutput(n, out, messages, toMembership) })
 }
 
-// applyOutput does what a step returned. The messages are given where they have been
-// encoded already.
+// applyOutput carries out the output of a step: it logs events, sends messages, starts
+// writes and responds to requests. messages has out.Messages in encoded form, or is nil if
+// they are not encoded yet.
 func (w *World) applyOutput(n *node, out machine.Output, messages []encodedMessage, toMembership bool) {
 	for _, e := range out.LogEvents {
 		w.LogCounts[e.Name]++
@@ -98,7 +101,8 @@
 	}
 }
 
-// nextTimer is the earlier timer of a node's machines, zero if they have none.
+// nextTimer returns when the earliest timer of a node's machines is due, in the node's local
+// time, zero if they have none.
 func (n *node) nextTimer() time.Duration {
 	at := n.machine.NextTimer()
 	if n.membership != nil {
@@ -109,7 +113,8 @@
 	return at
 }
 
-// scheduleTimer keeps one event in the queue for the next timer of a node.
+// scheduleTimer ensures that the queue has an event for the next timer of a node. Events
+// scheduled earlier for other times are ignored when they fire.
 func (w *World) scheduleTimer(n *node) {
 	at := n.nextTimer()
 	if at == 0 {
@@ -135,7 +140,8 @@
 	})
 }
 
-// runTimers steps the machines of a node whose timers are due.
+// runTimers steps the state machine of a node, and before that its membership if a timer of
+// the membership is due.
 func (w *World) runTimers(n *node) {
 	if n.membership != nil && n.membership.NextTimer() <= n.localTime(w.Now) {
 		w.step(n, machine.Input{}, true)
--- a/tool/sim/world.go
+++ b/tool/sim/world.go
@@ -1,8 +1,8 @@
-// Package sim is a deterministic simulator of whole deployments. It runs the state
+// Package sim is a deterministic simulator of entire deployments. It runs the state
 // machines of the daemons and fake workers over a simulated network, disks,
-// processors and clocks, breaks them by seed, and has an oracle (an invariant checker)
-// judge what workers, clients and operators saw. One seed gives one run, to the byte.
-// No decision of a daemon is made here.
+// processors and clocks, injects faults drawn from a seed, and has an oracle (an
+// invariant checker) judge what workers, clients and operators observed. Equal seeds give
+// byte-for-byte equal runs. The package makes none of the daemons' decisions itself.
 //
 // There are two compositions of the daemons: the fleet of replicas, schedulers and
 // gateways (FleetScenario), and that of control processes with node agents
@@ -19,21 +19,22 @@
 	"sorrelloom/tool/eventqueue"
 )
 
-// rngStream selects the stream of random numbers that a world draws from.
+// rngStream is the stream number of the world's PCG random number generator.
 const rngStream = 77
 
-// link is the way from one address to another.
+// link is the directed network link from one address to another.
 type link struct{ from, to string }
 
 // World is one simulated cluster. All its random choices come from one generator, so
-// the order of the draws is part of its behavior.
+// the order of the draws affects the run.
 type World struct {
-	// Queue has the time of the simulation, counted from its start, and what happens later.
+	// Queue holds the simulated time, counted from the start of the run, and the events
+	// that are still to happen.
 	eventqueue.Queue
 	Seed uint64
-	// Trace is a hash over all messages and replies, to compare runs by.
+	// Trace is a hash over all messages and replies. Equal runs have equal hashes.
 	Trace uint64
-	// MessageCount is how many messages nodes have sent to each other.
+	// MessageCount is the number of messages that nodes have sent to each other.
 	MessageCount int
 	// Log, if set, receives a line of text for every event.
 	Log func(text string)
@@ -45,23 +46,24 @@
 	nodes         map[string]*node // by address
 	blockedLinks  map[link]bool
 	lastDelivery  map[link]time.Duration
-	heldMessages  map[link][]machine.Message // of the links that are held
+	heldMessages  map[link][]machine.Message // by held link
 	lastRequestID uint64
-	// wallSkew is by how much the time of day of all nodes is off.
+	// wallSkew is added to the wall clocks of all nodes.
 	wallSkew time.Duration
 
-	// hardware bounds what the processes can do; without it work takes no time.
+	// hardware limits processors, links and disks. If it is nil, processing takes no time.
 	hardware *Hardware
-	// centralQueue has schedulers keep one queue in place of one for each worker.
+	// centralQueue makes schedulers keep one queue instead of one per worker.
 	centralQueue bool
-	// backupCount is how many backups the view of the control processes shall have.
+	// backupCount is the number of backups that the control processes are configured with.
 	backupCount int
 
-	// intercept may take a message over: it is not sent if it returns true.
+	// intercept, if set, is called for each message that is sent. If it returns true, the
+	// message is not sent.
 	intercept func(from *node, message machine.OutgoingMessage) bool
-	// rewrite may change a message before it is encoded.
+	// rewrite, if set, may change a message before it is encoded.
 	rewrite func(from *node, message machine.OutgoingMessage) machine.OutgoingMessage
-	// onConfigVersion is told the configuration version of a node after each step.
+	// onConfigVersion, if set, receives the configuration version of a node after each step.
 	onConfigVersion func(n *node, version uint64)
 }
 
@@ -78,22 +80,22 @@
 	}
 }
 
-// trace folds what happened into the trace.
+// trace adds an event to the hash in Trace.
 func (w *World) trace(parts ...any) {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, w.Trace, w.Now, parts)
 	w.Trace = hash.Sum64()
 }
 
-// logf writes a line of the log, if there is one.
+// logf passes a line with the simulated time to Log, if that is set.
 func (w *World) logf(format string, args ...any) {
 	if w.Log != nil {
 		w.Log(fmt.Sprintf("%9.3f ", w.Now.Seconds()) + fmt.Sprintf(format, args...))
 	}
 }
 
-// startOfTime is the time of day at which every simulation begins.
+// startOfTime is the wall-clock time at which every simulation begins.
 var startOfTime = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// wallTime is the time of day.
+// wallTime returns the current wall-clock time, without the skew of a single node.
 func (w *World) wallTime() time.Time { return startOfTime.Add(w.Now + w.wallSkew) }
