--- a/tool/sim/oracle_test.go
+++ b/tool/sim/oracle_test.go
@@ -92,7 +92,7 @@
 // violatingHistories are changes to the history of newHistory. Each must violate the named
 // check and no other, or none if the name is empty.
 var violatingHistories = []struct {
-	check string
+	check  string
 	change func(o *oracle)
 }{
 	{"", func(o *oracle) {}},
--- a/tool/sim/oracle_watch_test.go
+++ b/tool/sim/oracle_watch_test.go
@@ -27,9 +27,9 @@
 	return found
 }
 
-// TestRequestCountsFromWhenItCanCommit guards against bounds that count from the wrong time. It injects
-// faults into replicas at 10 s of a run without traffic, and checks that canServe reports
-// that a request can be committed exactly if the replicas do commit one.
+// TestRequestCountsFromWhenItCanCommit guards against bounds that count from the wrong time.
+// It injects faults into replicas at 10 s of a run without traffic, and checks that canServe
+// reports that a request can be committed exactly if the replicas do commit one.
 func TestRequestCountsFromWhenItCanCommit(t *testing.T) {
 	for _, row := range []struct {
 		name        string
--- a/tool/sim/turnover_test.go
+++ b/tool/sim/turnover_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestSiteOutlivesAllItsReplicas guards against agents and gateways that no longer
-// find the primary after all control processes were replaced. These are replaced one after
-// another at new addresses while jobs are submitted, and at the end all of them lose power.
-// Agents and gateways must find each new primary, and the probes must be served.
+// TestSiteOutlivesAllItsReplicas guards against agents and gateways that no longer find the
+// primary after all control processes were replaced. These are replaced one after another at
+// new addresses while jobs are submitted, and at the end all of them lose power. Agents and
+// gateways must find each new primary, and the probes must be served.
 func TestSiteOutlivesAllItsReplicas(t *testing.T) {
 	var runs []Options
 	for seed := range uint64(6) {
