--- a/tool/sim/control_faults.go
+++ b/tool/sim/control_faults.go
@@ -111,7 +111,7 @@
 		}
 		s.submit(s.newJob(class, s.world.idNow("crowd", i), steps, runMillis, state.Repeat{}))
 	}
-	s.degrade(6 * time.Second)
+	s.expectDegraded(6 * time.Second)
 }
 
 // drainRandomZone drains a zone for 9 s, unless one is being drained or was refilled less than
--- a/tool/sim/control_faults_daemons.go
+++ b/tool/sim/control_faults_daemons.go
@@ -32,7 +32,7 @@
 	n := s.randomDaemon()
 	s.kill(n)
 	s.bootAfter(n, 300, 6000)
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 }
 
 // killLeader kills the leader, which restarts later.
@@ -40,7 +40,7 @@
 	n := s.leaderOrRandom()
 	s.kill(n)
 	s.bootAfter(n, 300, 6000)
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 }
 
 // killTwoLeaders kills the leader, and its successor as soon as that serves.
@@ -54,13 +54,13 @@
 		if n := s.primary(); n != nil && n != first {
 			s.kill(n)
 			s.bootAfter(n, 300, 3000)
-			s.degradeDaemons(10 * time.Second)
+			s.expectDegradedByDaemons(10 * time.Second)
 		} else if s.world.Now < s.end {
 			s.world.After(pollInterval, killNext)
 		}
 	}
 	s.world.After(100*time.Millisecond, killNext)
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // killControls kills all control processes, which restart later.
@@ -69,7 +69,7 @@
 		s.kill(n)
 		s.bootAfter(n, 300, 2500)
 	}
-	s.degradeDaemons(10 * time.Second)
+	s.expectDegradedByDaemons(10 * time.Second)
 }
 
 // powerOff cuts the power of all hosts at once.
@@ -84,7 +84,7 @@
 		s.world.Kill(n)
 		s.bootAfter(n, 300, 2500)
 	}
-	s.degradeDaemons(12 * time.Second)
+	s.expectDegradedByDaemons(12 * time.Second)
 }
 
 // freezeDaemon freezes a random daemon for a while, half of the time the leader.
@@ -95,13 +95,13 @@
 	}
 	s.world.Freeze(n)
 	s.world.After(s.world.millisFrom(500, 9000), func() { s.world.Unfreeze(n) })
-	s.degradeDaemons(15 * time.Second)
+	s.expectDegradedByDaemons(15 * time.Second)
 }
 
 // slowControlDisk slows down the disk of a control process for 8 s.
 func (s *ControlScenario) slowControlDisk() {
 	s.world.slowDisk(s.randomReplica(), 8*time.Second)
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // blockRandomLink blocks the link from a daemon to a control process, in one direction or both.
@@ -112,7 +112,7 @@
 	}
 	oneWay := s.world.coin()
 	s.blockLinkFor(from.address, to.address, oneWay, s.world.secondsFrom(1, 8))
-	s.degradeDaemons(13 * time.Second)
+	s.expectDegradedByDaemons(13 * time.Second)
 }
 
 // blockLinkFor blocks the link from one address to another for a while, and unless oneWay also
@@ -136,7 +136,7 @@
 		n = s.randomReplica()
 	}
 	s.world.isolateFor(n, 8*time.Second)
-	s.degradeDaemons(15 * time.Second)
+	s.expectDegradedByDaemons(15 * time.Second)
 }
 
 // wipeControl wipes the disk of a control process, if takeDisk allows it.
@@ -145,7 +145,7 @@
 		return
 	}
 	s.wipeAndBoot()
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // wipeAndBoot wipes the disk of a control process, which restarts without data.
@@ -182,9 +182,9 @@
 	}
 	s.onAccept = func() {
 		inject()
-		s.degradeDaemons(14 * time.Second)
+		s.expectDegradedByDaemons(14 * time.Second)
 	}
 	id := fmt.Sprintf("armed-%d", s.world.Now/time.Millisecond)
 	s.submit(s.newJob(classBatch, id, []state.StepSpec{{Count: 1}}, []int64{100}, state.Repeat{}))
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
--- a/tool/sim/control_faults_workers.go
+++ b/tool/sim/control_faults_workers.go
@@ -20,7 +20,7 @@
 		return
 	}
 	worker.terminate()
-	s.degrade(9 * time.Second)
+	s.expectDegraded(9 * time.Second)
 	s.world.After(s.world.millisFrom(300, 9000), func() { s.bootWorker(worker.machine) })
 }
 
@@ -36,7 +36,7 @@
 	}
 	s.permanentLosses++
 	worker.terminate()
-	s.degrade(9 * time.Second)
+	s.expectDegraded(9 * time.Second)
 }
 
 // blockWorkerLink blocks the link from a worker to its agent, in one direction or both.
@@ -48,7 +48,7 @@
 	oneWay := s.world.coin()
 	duration := s.world.millisFrom(1000, 14000)
 	s.blockLinkFor(worker.machine.address, worker.machine.agent.address, oneWay, duration)
-	s.degrade(16 * time.Second)
+	s.expectDegraded(16 * time.Second)
 }
 
 // failOnWorker makes some of the runs on a worker fail for 10 s.
@@ -58,7 +58,7 @@
 		return
 	}
 	worker.failing = true
-	s.degrade(12 * time.Second)
+	s.expectDegraded(12 * time.Second)
 	s.world.After(10*time.Second, func() { worker.failing = false })
 }
 
--- a/tool/sim/core_faults.go
+++ b/tool/sim/core_faults.go
@@ -57,7 +57,7 @@
 // resetConnections closes all connections of a control process.
 func (s *ControlScenario) resetConnections() bool {
 	s.world.ResetConnections(s.randomReplica())
-	s.degradeDaemons(6 * time.Second)
+	s.expectDegradedByDaemons(6 * time.Second)
 	return true
 }
 
@@ -85,7 +85,7 @@
 	}
 	s.world.HoldLink(from.address, to.address)
 	s.world.After(s.millisBetween(300, 6000), func() { s.world.ReleaseLink(from.address, to.address) })
-	s.degradeDaemons(12 * time.Second)
+	s.expectDegradedByDaemons(12 * time.Second)
 	return true
 }
 
@@ -97,7 +97,7 @@
 		return false
 	}
 	s.blockLinkFor(from.address, to.address, true, s.millisBetween(1000, 7000))
-	s.degradeDaemons(13 * time.Second)
+	s.expectDegradedByDaemons(13 * time.Second)
 	return true
 }
 
@@ -111,7 +111,7 @@
 		n.diskFull = false
 		s.world.Boot(n)
 	})
-	s.degradeDaemons(15 * time.Second)
+	s.expectDegradedByDaemons(15 * time.Second)
 	return true
 }
 
@@ -121,7 +121,7 @@
 	s.world.logf("stalled disk %s", n.name)
 	n.diskStalled = true
 	s.world.After(s.millisBetween(500, 7000), func() { n.diskStalled = false })
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 	return true
 }
 
@@ -131,7 +131,7 @@
 		return false
 	}
 	s.wipeAndBoot()
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 	return true
 }
 
@@ -160,7 +160,7 @@
 		}
 		s.bootAfter(n, 300, 4000)
 	}
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 	return true
 }
 
@@ -172,7 +172,7 @@
 	s.kill(n)
 	s.bootAfter(n, 300, 3000)
 	s.world.After(s.millisBetween(3500, 8000), func() { s.world.Reconnect(n.address) })
-	s.degradeDaemons(15 * time.Second)
+	s.expectDegradedByDaemons(15 * time.Second)
 	return true
 }
 
@@ -182,7 +182,7 @@
 	s.kill(n)
 	n.seeds = []string{s.randomReplica().address, s.randomReplica().address}
 	s.bootAfter(n, 300, 2000)
-	s.degradeDaemons(10 * time.Second)
+	s.expectDegradedByDaemons(10 * time.Second)
 	return true
 }
 
@@ -238,7 +238,7 @@
 		s.replaceDaemon(old, n)
 		s.replaceSeed(old.address, address)
 	})
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // replaceSeed replaces a seed address in the settings of all daemons. It takes effect when they
@@ -265,6 +265,6 @@
 		s.world.Kill(n)
 		s.world.Boot(n)
 	})
-	s.degradeDaemons(10 * time.Second)
+	s.expectDegradedByDaemons(10 * time.Second)
 	return true
 }
--- a/tool/sim/fleet_broken_test.go
+++ b/tool/sim/fleet_broken_test.go
@@ -15,7 +15,7 @@
 // loseAllReplicas cuts the power of all replicas at once and restores it 2 s later.
 func loseAllReplicas(s *FleetScenario) {
 	s.world.At(15*time.Second, func() {
-		s.degradeDaemons(12 * time.Second)
+		s.expectDegradedByDaemons(12 * time.Second)
 		for _, n := range s.replicas {
 			s.world.Kill(n)
 			s.world.After(2*time.Second, func() { s.world.Boot(n) })
--- a/tool/sim/fleet_clients.go
+++ b/tool/sim/fleet_clients.go
@@ -160,5 +160,5 @@
 	s.wipeOnAccept = false
 	s.world.Wipe(primary)
 	s.world.After(s.world.millisFrom(1, 4000), func() { s.world.Boot(primary) })
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
--- a/tool/sim/fleet_daemons_test.go
+++ b/tool/sim/fleet_daemons_test.go
@@ -27,7 +27,7 @@
 		slow := ""
 		options.Prepare = func(s *FleetScenario) {
 			s.world.At(12*time.Second, func() {
-				s.degradeDaemons(2 * time.Second)
+				s.expectDegradedByDaemons(2 * time.Second)
 				for _, n := range s.replicas {
 					if (role == "primary") == (n == s.primary()) && n.address != s.replicas[2].address {
 						n.diskSlowFactor, slow = 600, n.name
--- a/tool/sim/fleet_faults_daemons.go
+++ b/tool/sim/fleet_faults_daemons.go
@@ -12,7 +12,7 @@
 	n := s.randomDaemon()
 	s.world.Kill(n)
 	s.world.After(s.world.secondsFrom(1, 6), func() { s.world.Boot(n) })
-	s.degradeDaemons(8 * time.Second)
+	s.expectDegradedByDaemons(8 * time.Second)
 }
 
 // killPrimary kills the primary, and restarts it later.
@@ -21,7 +21,7 @@
 		s.world.Kill(n)
 		s.world.After(s.world.secondsFrom(1, 6), func() { s.world.Boot(n) })
 	}
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 }
 
 // stopDaemon asks a random daemon to hand over and shut down, and restarts it 6 s later.
@@ -32,7 +32,7 @@
 		s.world.Kill(n)
 		s.world.Boot(n)
 	})
-	s.degradeDaemons(10 * time.Second)
+	s.expectDegradedByDaemons(10 * time.Second)
 }
 
 // freezeDaemon freezes the primary or, with even odds, a random daemon for a while.
@@ -45,7 +45,7 @@
 	}
 	s.world.Freeze(n)
 	s.world.After(s.world.millisFrom(500, 9000), func() { s.world.Unfreeze(n) })
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // jumpClock moves the wall clocks of all nodes by up to 1000 hours.
@@ -60,7 +60,7 @@
 	n := s.randomDaemon()
 	s.world.Kill(n)
 	s.world.After(time.Second, func() { s.world.Boot(n) })
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 }
 
 // blockOneWay blocks the link from one random daemon to another for a while, in one
@@ -73,19 +73,19 @@
 	s.world.logf("block link %s to %s", from.name, to.name)
 	s.world.BlockLink(from.address, to.address)
 	s.world.After(7*time.Second, func() { s.world.UnblockLink(from.address, to.address) })
-	s.degradeDaemons(12 * time.Second)
+	s.expectDegradedByDaemons(12 * time.Second)
 }
 
 // isolateReplica isolates a random replica for a while.
 func (s *FleetScenario) isolateReplica() {
 	s.world.isolateFor(s.randomReplica(), 8*time.Second)
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // slowReplicaDisk makes the disk of a random replica slow for a while.
 func (s *FleetScenario) slowReplicaDisk() {
 	s.world.slowDisk(s.randomReplica(), 8*time.Second)
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // wipeReplica kills a random replica and empties its disk, if no other disk is missing.
@@ -96,7 +96,7 @@
 	n := s.randomReplica()
 	s.world.Wipe(n)
 	s.world.After(s.world.secondsFrom(0, 4), func() { s.world.Boot(n) })
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // wipePrimaryOnAccept makes the primary lose its disk when the next job is accepted, if no
@@ -126,7 +126,7 @@
 		s.replicas[i] = n
 		s.replaceDaemon(old, n)
 	})
-	s.degradeDaemons(14 * time.Second)
+	s.expectDegradedByDaemons(14 * time.Second)
 }
 
 // addressesOf returns the addresses of nodes, in the same order.
@@ -158,7 +158,7 @@
 			s.world.After(9*time.Second, func() { s.bootWorker(worker) })
 		}
 	}
-	s.degradeDaemons(18 * time.Second)
+	s.expectDegradedByDaemons(18 * time.Second)
 }
 
 // loseZoneUnderLoad is loseZone while many quick jobs are submitted.
@@ -204,7 +204,7 @@
 		name := fmt.Sprintf("%s-new-%d", old.role, s.replacements)
 		s.daemons[i] = s.world.AddNode(old.role, name, old.zone, address, seeds, nil)
 	})
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 }
 
 // restartWithOtherSeeds kills three schedulers, gives all daemons two gateways as seeds for
@@ -222,7 +222,7 @@
 			s.world.Boot(n)
 		}
 	})
-	s.degradeDaemons(10 * time.Second)
+	s.expectDegradedByDaemons(10 * time.Second)
 }
 
 // lastTwoAddresses returns the addresses of the last two gateways, the last one first.
--- a/tool/sim/fleet_faults_load.go
+++ b/tool/sim/fleet_faults_load.go
@@ -20,7 +20,7 @@
 	for i := range 120 {
 		s.submit(s.newJob(s.options.Deployment.Traffic[i%3], s.world.idNow("crowd", i)))
 	}
-	s.degrade(5 * time.Second)
+	s.expectDegraded(5 * time.Second)
 }
 
 // submitLargeJobs submits 6 jobs of many tasks.
--- a/tool/sim/fleet_faults_workers.go
+++ b/tool/sim/fleet_faults_workers.go
@@ -10,7 +10,7 @@
 // confirms it dead.
 func (s *FleetScenario) crashRandomWorker() {
 	worker := s.randomWorker()
-	s.degrade(9 * time.Second)
+	s.expectDegraded(9 * time.Second)
 	s.crashWorker(worker)
 	if s.world.coin() {
 		s.world.After(s.world.secondsFrom(1, 9), func() { s.bootWorker(worker) })
@@ -30,7 +30,7 @@
 	s.world.After(3*time.Second, func() {
 		s.world.logf("isolate %s, which runs on", worker.name())
 		s.setIsolated(worker, true)
-		s.degrade(9 * time.Second)
+		s.expectDegraded(9 * time.Second)
 		s.world.After(s.world.secondsFrom(9, 20), func() {
 			s.world.logf("reconnect %s", worker.name())
 			s.setIsolated(worker, false)
@@ -44,7 +44,7 @@
 	worker := s.randomWorker()
 	s.world.logf("isolate %s", worker.name())
 	s.setIsolated(worker, true)
-	s.degrade(9 * time.Second)
+	s.expectDegraded(9 * time.Second)
 	s.world.After(s.world.secondsFrom(2, 14), func() {
 		s.world.logf("reconnect %s", worker.name())
 		s.setIsolated(worker, false)
@@ -70,7 +70,7 @@
 // hangWorker makes runs that start on a random worker hang for a while.
 func (s *FleetScenario) hangWorker() {
 	s.injectWorkerFaults(fakeworker.Faults{Hang: true}, 2*time.Second)
-	s.degrade(2 * time.Second)
+	s.expectDegraded(2 * time.Second)
 }
 
 // withdrawRandomWorker makes a random worker leave, and come back later.
--- a/tool/sim/fleet_operators_test.go
+++ b/tool/sim/fleet_operators_test.go
@@ -77,7 +77,7 @@
 		}},
 		{"repeated at another gateway, after a change of primary", func(s *FleetScenario, calls *operatorCalls) {
 			s.world.At(13*time.Second, func() {
-				s.degradeDaemons(9 * time.Second)
+				s.expectDegradedByDaemons(9 * time.Second)
 				s.world.Kill(s.primary())
 			})
 			calls.call(s, 17*time.Second, 2, "A again", drain)
--- a/tool/sim/large_site.go
+++ b/tool/sim/large_site.go
@@ -114,7 +114,7 @@
 		leader := s.leaderOrRandom()
 		result.LeaderUsage, result.Records = leader.usage().since(result.LeaderUsage), leader.storedRecords()
 		if play := LargeSiteFaults[fault]; play != nil {
-			s.degradeDaemons(recoverWithin)
+			s.expectDegradedByDaemons(recoverWithin)
 			play(s)
 		}
 	})
--- a/tool/sim/measurements.go
+++ b/tool/sim/measurements.go
@@ -141,7 +141,7 @@
 func (p *failoverProbe) prepare(s *FleetScenario, killAt time.Duration) {
 	s.world.At(killAt, func() {
 		p.killedAt = s.world.Now
-		s.degradeDaemons(10 * time.Second)
+		s.expectDegradedByDaemons(10 * time.Second)
 		s.world.Kill(s.primary())
 	})
 	for i := range 200 {
--- a/tool/sim/replica_replacement_test.go
+++ b/tool/sim/replica_replacement_test.go
@@ -71,7 +71,7 @@
 // wipeAndReplace wipes the replica, starts an empty one in its place after bootDelay, and
 // measures the time until that has joined.
 func (l *lostReplica) wipeAndReplace(s *FleetScenario) {
-	s.degradeDaemons(9 * time.Second)
+	s.expectDegradedByDaemons(9 * time.Second)
 	i := l.find(s)
 	n := s.replicas[i]
 	s.world.Wipe(n)
--- a/tool/sim/scenario.go
+++ b/tool/sim/scenario.go
@@ -86,13 +86,13 @@
 	return true
 }
 
-// degrade excludes a time from now on from the checks of latency.
-func (s *scenario) degrade(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
+// expectDegraded excludes a time from now on from the checks of latency.
+func (s *scenario) expectDegraded(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
 
-// degradeDaemons is degrade for a fault of the daemons themselves. It also records now as
+// expectDegradedByDaemons is degrade for a fault of the daemons themselves. It also records now as
 // the time of the last such fault.
-func (s *scenario) degradeDaemons(duration time.Duration) {
-	s.degrade(duration)
+func (s *scenario) expectDegradedByDaemons(duration time.Duration) {
+	s.expectDegraded(duration)
 	s.lastFaultAt = max(s.lastFaultAt, s.world.Now)
 }
 
