--- a/tool/sim/control_result.go
+++ b/tool/sim/control_result.go
@@ -54,7 +54,7 @@
 			return slices.Contains(speedChecks, violation.Check)
 		})
 	}
-	result.takeJudgement(&s.oracle)
+	result.setFindings(&s.oracle)
 	return result
 }
 
--- a/tool/sim/fleet_scenario.go
+++ b/tool/sim/fleet_scenario.go
@@ -155,6 +155,6 @@
 	result := s.newResult()
 	result.ConfigConflicts, result.Locality = s.configConflicts, s.measureLocality()
 	result.measureRestarts(s.runs)
-	result.takeJudgement(&s.oracle)
+	result.setFindings(&s.oracle)
 	return result
 }
--- a/tool/sim/result.go
+++ b/tool/sim/result.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// takeJudgement copies the findings of the oracle. A scenario in which no job was accepted
+// setFindings copies the findings of the oracle. A scenario in which no job was accepted
 // or no task ran is itself a violation.
-func (result *Result) takeJudgement(o *oracle) {
+func (result *Result) setFindings(o *oracle) {
 	result.Violations, result.Judged, result.Excused = o.violations, o.judged, o.excused
 	if result.Accepted == 0 || result.Runs == 0 {
 		result.Violations = append(result.Violations,
