--- a/core/machine/message.go
+++ b/core/machine/message.go
@@ -24,12 +24,12 @@
 // requests. A receiver of an earlier release treats such a key like any other.
 const UrgentKeyPrefix = "urgent/"
 
-// QuestionKeyPrefix begins the coalescing keys of questions, which change nothing. A receiver of an
+// QueryKeyPrefix begins the coalescing keys of queries, which change nothing. A receiver of an
 // earlier release treats such a key like any other.
-const QuestionKeyPrefix = "question/"
+const QueryKeyPrefix = "question/"
 
-// IsQuestion reports whether a message is a question, which changes nothing.
-func (m Message) IsQuestion() bool { return strings.HasPrefix(m.CoalescingKey, QuestionKeyPrefix) }
+// IsQuery reports whether a message is a query, which changes nothing.
+func (m Message) IsQuery() bool { return strings.HasPrefix(m.CoalescingKey, QueryKeyPrefix) }
 
 // IsUrgent reports whether a message is to be handled before other requests. It does not need to
 // decode the body.
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -149,7 +149,7 @@
 	case in.CompletedWrite > 0:
 		r.handleWriteDone(now, in.CompletedWrite, &out)
 	case in.Message.Kind != "":
-		if in.Message.Kind == wire.KindCommand && !in.Message.IsUrgent() && !in.Message.IsQuestion() {
+		if in.Message.Kind == wire.KindCommand && !in.Message.IsUrgent() && !in.Message.IsQuery() {
 			r.overload.observe(now, in.Waited)
 		}
 		r.handleMessage(now, in.Message, &out)
--- a/core/wire/requests.go
+++ b/core/wire/requests.go
@@ -41,7 +41,7 @@
 	case r.Urgent:
 		return machine.UrgentKeyPrefix + id
 	case r.Question:
-		return machine.QuestionKeyPrefix + id
+		return machine.QueryKeyPrefix + id
 	}
 	return ""
 }
--- a/daemon/transport/receive_queue_test.go
+++ b/daemon/transport/receive_queue_test.go
@@ -75,9 +75,9 @@
 	}
 	q.Enqueue(newMessage(wire.KindHeartbeat, "agent", "w", "report"))
 	q.Enqueue(newMessage(wire.KindFeedUpdate, "replica", "", "update"))
-	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QuestionKeyPrefix+"1", "question"))
+	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QueryKeyPrefix+"1", "question"))
 	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.UrgentKeyPrefix+"2", "operator"))
-	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QuestionKeyPrefix+"1", "question, resent"))
+	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QueryKeyPrefix+"1", "question, resent"))
 	if waiting := q.Len(); waiting != jobs+4 {
 		t.Errorf("%d messages are pending", waiting)
 	}
@@ -259,7 +259,7 @@
 	for range maxReportsInRow {
 		q.tryDequeue()
 	}
-	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QuestionKeyPrefix+"1", "question"))
+	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.QueryKeyPrefix+"1", "question"))
 	q.Enqueue(newMessage(wire.KindCommand, "gateway", machine.UrgentKeyPrefix+"2", "operator"))
 	want := []string{"command operator", "command question", "command change", fmt.Sprint("beat ", maxReportsInRow)}
 	equal(t, drain(q), want)
--- a/daemon/transport/traffic_class.go
+++ b/daemon/transport/traffic_class.go
@@ -126,7 +126,7 @@
 	case message.Kind != wire.KindCommand:
 	case message.IsUrgent():
 		return urgentClass
-	case message.IsQuestion():
+	case message.IsQuery():
 		return queryClass
 	}
 	return ClassOfKind(message.Kind)
