--- a/tool/cmd/fakeworker/main.go
+++ b/tool/cmd/fakeworker/main.go
@@ -1,6 +1,6 @@
-// Program fakeworker plays one worker against the gateways, by the contract in
-// docs/workers.md. Its faults are set over its own HTTP port, which also serves its record of
-// what it ran.
+// Program fakeworker runs one fake worker that connects to the gateways and follows the contract
+// in docs/workers.md. Its HTTP port accepts the faults to inject, and serves the record of its
+// runs.
 package main
 
 import (
@@ -25,15 +25,16 @@
 	exitUsage = 2
 )
 
-// workerSettings are what the flags ask for.
+// workerSettings are the parsed command-line flags.
 type workerSettings struct {
 	config         fakeworker.Config
 	gateways       []string
 	controlAddress string
 }
 
-// errIncomplete says that a flag is missing or out of range.
-var errIncomplete = errors.New("-id, -site, -service, -fronts and -http are needed, -slots must be over 0")
+// errInvalidFlags means that a flag is missing or out of range.
+var errInvalidFlags = errors.New(
+	"-id, -site, -service, -fronts and -http are required; -slots must be positive and -cores not negative")
 
 func main() { os.Exit(run(os.Args[1:])) }
 
@@ -56,26 +57,26 @@
 	return exitOK
 }
 
-// parseFlags reads and checks the flags. The incarnation is the time of the start, so that it
-// is larger for each process.
+// parseFlags parses and validates the flags. The incarnation is the start time, so that it
+// increases with each process.
 func parseFlags(args []string) (workerSettings, error) {
 	var s workerSettings
 	fs := flag.NewFlagSet("fakeworker", flag.ContinueOnError)
-	fs.StringVar(&s.config.ID, "id", "", "worker ID (needed)")
-	fs.StringVar(&s.config.Zone, "site", "", "zone (needed)")
+	fs.StringVar(&s.config.ID, "id", "", "worker ID (required)")
+	fs.StringVar(&s.config.Zone, "site", "", "zone (required)")
 	fs.StringVar(&s.config.Rack, "rack", "", "rack")
-	fs.StringVar(&s.config.Service, "service", "", "service (needed)")
+	fs.StringVar(&s.config.Service, "service", "", "service (required)")
 	labels := fs.String("labels", "", "comma-separated labels")
-	slots := fs.Int("slots", 8, "slots in all")
-	cores := fs.Int("cores", 16, "cores in all")
-	gateways := fs.String("fronts", "", "comma-separated IP:port of gateways (needed)")
-	fs.StringVar(&s.controlAddress, "http", "", "IP:port for control and the record of runs (needed)")
+	slots := fs.Int("slots", 8, "total number of slots")
+	cores := fs.Int("cores", 16, "total number of cores")
+	gateways := fs.String("fronts", "", "comma-separated IP:port of gateways (required)")
+	fs.StringVar(&s.controlAddress, "http", "", "IP:port to serve the control API and the record of runs on (required)")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("STANDIN")); err != nil {
 		return s, err
 	}
 	if s.config.ID == "" || s.config.Zone == "" || s.config.Service == "" || *gateways == "" ||
 		s.controlAddress == "" || *slots < 1 || *cores < 0 {
-		return s, errIncomplete
+		return s, errInvalidFlags
 	}
 	s.gateways = strings.Split(*gateways, ",")
 	s.config.Capacity = state.Resources{Slots: *slots, Cores: *cores}
--- a/tool/cmd/fakeworker/server.go
+++ b/tool/cmd/fakeworker/server.go
@@ -20,7 +20,7 @@
 	"sorrelloom/tool/fakeworker"
 )
 
-// workerServer drives one worker by the clock, and lets it be controlled over HTTP.
+// workerServer drives one worker in real time and serves its control API over HTTP.
 type workerServer struct {
 	client  *client.Client
 	started time.Time
@@ -37,14 +37,15 @@
 	}
 }
 
-// start lets the worker act from now on.
+// start schedules the first tick of the worker.
 func (s *workerServer) start() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.timer = time.AfterFunc(time.Millisecond, func() { pool.Go(s.tick) })
 }
 
-// tick lets the worker act, and again when its next timer is due.
+// tick advances the worker to the current time, sends a heartbeat if one is due, and schedules
+// the next tick.
 func (s *workerServer) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,8 @@
 	s.timer.Reset(max(time.Millisecond, s.worker.NextTimer()-now))
 }
 
-// send sends a heartbeat, and gives the worker the reply.
+// send sends a heartbeat and passes the reply to the worker. Heartbeats of an isolated worker
+// are not sent and count as failed.
 func (s *workerServer) send(heartbeat state.Heartbeat) {
 	s.mu.Lock()
 	isolated := s.isolated
@@ -71,7 +73,7 @@
 	s.tick()
 }
 
-// callGateway sends a heartbeat to a gateway, and reports whether it was taken.
+// callGateway sends a heartbeat to a gateway and reports whether it was accepted.
 func (s *workerServer) callGateway(heartbeat state.Heartbeat) (state.HeartbeatReply, bool) {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return view.Reply, success
 }
 
-// serve serves the control port.
+// serve serves the control API.
 func (s *workerServer) serve(address string) {
 	h := server.New(server.WithListener(settings.MustListen(address)), server.WithDisablePrintRoute(true))
 	h.GET("/runs", s.getRuns)
@@ -101,7 +103,8 @@
 	})
 }
 
-// getRuns replies with the worker's record of its runs, by the time of day.
+// getRuns replies with the worker's record of its runs. Times are in nanoseconds since the Unix
+// epoch.
 func (s *workerServer) getRuns(_ context.Context, c *app.RequestContext) {
 	s.mu.Lock()
 	runs := append([]fakeworker.Run{}, s.worker.Finished...)
@@ -117,16 +120,16 @@
 	respond(c, runs)
 }
 
-// faultOrder is what the worker is told to do wrong, from now on.
-type faultOrder struct {
+// faultRequest sets the faults that the worker injects from now on.
+type faultRequest struct {
 	fakeworker.Faults
 	Leave    bool `json:"leave"`
 	Isolated bool `json:"cut"`
 }
 
-// postFaults has the worker misbehave.
+// postFaults replaces the faults that the worker injects.
 func (s *workerServer) postFaults(_ context.Context, c *app.RequestContext) {
-	var order faultOrder
+	var order faultRequest
 	if err := json.Unmarshal(c.Request.Body(), &order); err != nil {
 		c.Data(http.StatusBadRequest, "text/plain", []byte(err.Error()))
 		return
--- a/tool/cmd/fleet/commands.go
+++ b/tool/cmd/fleet/commands.go
@@ -23,8 +23,9 @@
   quit
 `
 
-// takeCommands executes commands from standard input until one of them, or a signal, ends it.
-func takeCommands(f *fleet.Fleet) {
+// runCommands executes commands from standard input until the command quit or a signal. After the
+// end of the input it waits for a signal.
+func runCommands(f *fleet.Fleet) {
 	lines := readLines()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -53,7 +54,7 @@
 	}
 }
 
-// readLines reads the lines of standard input.
+// readLines returns the lines of standard input, and closes the channel at its end.
 func readLines() <-chan string {
 	lines := make(chan string)
 	pool.Go(func() {
@@ -68,7 +69,7 @@
 
 // execute executes one command.
 func execute(f *fleet.Fleet, words []string) error {
-	ofProcess := map[string]func(name string) error{
+	processCommands := map[string]func(name string) error{
 		"kill": f.Kill, "run": f.StartProcess, "stop": f.Stop,
 		"freeze": f.Freeze, "wake": f.Resume, "wipe": f.WipeData,
 	}
@@ -80,8 +81,8 @@
 	case len(words) == 1 && command == "primary":
 		fmt.Println(f.Primary())
 		return nil
-	case len(words) == 2 && ofProcess[command] != nil:
-		return ofProcess[command](words[1])
+	case len(words) == 2 && processCommands[command] != nil:
+		return processCommands[command](words[1])
 	case len(words) == 3 && (command == "cut" || command == "mend"):
 		return f.SetPartition(words[1], words[2], command == "cut")
 	case len(words) == 3 && command == "join":
@@ -90,7 +91,7 @@
 	return fmt.Errorf("unknown command; %s", commandHelp)
 }
 
-// list prints the processes.
+// list prints the name, zone and addresses of all processes.
 func list(f *fleet.Fleet) {
 	for _, name := range f.ProcessNames() {
 		if p, err := f.Process(name); err == nil {
--- a/tool/cmd/fleet/main.go
+++ b/tool/cmd/fleet/main.go
@@ -1,6 +1,6 @@
-// Program fleet runs a whole deployment on this machine, on loopback only, and takes commands
-// on standard input to break and mend it. It is for trials and for tests; daemons themselves
-// never start a process.
+// Program fleet runs all processes of a deployment on this machine, on loopback addresses only.
+// Commands on standard input inject and undo faults. It is meant for experiments and tests;
+// daemons themselves never start a process.
 package main
 
 import (
@@ -28,10 +28,11 @@
 const (
 	readyTimeout = 30 * time.Second
 	callTimeout  = 5 * time.Second
-	// minPort and maxPort bound -base, below the ports that systems give out.
+	// minPort and maxPort bound -base. The ports used are below the ephemeral ports of usual
+	// systems.
 	minPort = 1024
 	maxPort = 32000
-	// minReplicas is how many replicas bear the loss of one.
+	// minReplicas is the smallest number of replicas that tolerates the loss of one.
 	minReplicas = 3
 )
 
@@ -58,18 +59,18 @@
 	}
 	fmt.Printf("ready: deployment=%s primary=%s\nfronts: %s\n%s",
 		config.Deployment.Name, f.Primary(), strings.Join(f.Gateways(), ","), commandHelp)
-	takeCommands(f)
+	runCommands(f)
 	return exitOK
 }
 
-// parseConfig reads and checks the flags.
+// parseConfig parses and validates the flags.
 func parseConfig(args []string) (fleet.Config, error) {
 	var config fleet.Config
 	fs := flag.NewFlagSet("fleet", flag.ContinueOnError)
-	name := fs.String("deployment", "reseller", "reseller or podcast")
-	fs.StringVar(&config.BinaryDir, "bin", "bin", "directory with the built programs")
+	name := fs.String("deployment", "reseller", "deployment to run: reseller or podcast")
+	fs.StringVar(&config.BinaryDir, "bin", "bin", "directory of the built programs")
 	fs.StringVar(&config.Directory, "folder", "run", "directory for data and logs")
-	fs.IntVar(&config.BasePort, "base", 20000, "ports above this one are used, on 127.0.0.1")
+	fs.IntVar(&config.BasePort, "base", 20000, "the ports above this one are used, on 127.0.0.1")
 	fs.IntVar(&config.Replicas, "keepers", deploy.Replicas, "replicas, at least 3")
 	fs.IntVar(&config.Schedulers, "schedulers", deploy.Schedulers, "schedulers")
 	fs.IntVar(&config.Gateways, "fronts", deploy.Gateways, "gateways")
@@ -85,18 +86,18 @@
 	}
 	switch {
 	case config.Replicas < minReplicas || config.Schedulers < 1 || config.Gateways < 1 || config.Workers < 0:
-		return config, fmt.Errorf("at least %d replicas, 1 scheduler and 1 gateway are needed", minReplicas)
+		return config, fmt.Errorf("at least %d replicas, 1 scheduler and 1 gateway are required", minReplicas)
 	case config.BasePort < minPort || config.BasePort > maxPort:
-		return config, fmt.Errorf("-base %d: from %d to %d, below the ports that systems give out",
+		return config, fmt.Errorf("-base %d: must be from %d to %d, below the ephemeral ports",
 			config.BasePort, minPort, maxPort)
 	case fs.NArg() > 0:
-		return config, fmt.Errorf("unexpected words: %s", strings.Join(fs.Args(), " "))
+		return config, fmt.Errorf("unexpected arguments: %s", strings.Join(fs.Args(), " "))
 	}
 	return config, nil
 }
 
-// prepare waits until the fleet is ready, puts its first configuration, and writes the
-// gateways' addresses to a file.
+// prepare waits until the fleet is ready, stores its first configuration, and writes the
+// addresses of the gateways to the file "fronts" in the fleet's directory.
 func prepare(f *fleet.Fleet, config fleet.Config) error {
 	if !fleet.Poll(readyTimeout, f.Ready) {
 		return fmt.Errorf("not ready after %s; see the logs in %s", readyTimeout, config.Directory)
@@ -108,7 +109,7 @@
 	return os.WriteFile(file, []byte(strings.Join(f.Gateways(), ",")+"\n"), 0o600)
 }
 
-// putFirstConfig puts the deployment's configuration unless there is one.
+// putFirstConfig stores the deployment's configuration unless the fleet already has one.
 func putFirstConfig(f *fleet.Fleet, body []byte) error {
 	response, err := f.Client.Call("GET", "/v1/plan", nil, nil, callTimeout)
 	var current struct {
@@ -118,10 +119,10 @@
 		response, err = f.Client.Call("PUT", "/v1/plan?base=0", body, nil, callTimeout)
 	}
 	if err != nil {
-		return fmt.Errorf("put the first configuration: %w", err)
+		return fmt.Errorf("store the first configuration: %w", err)
 	}
 	if response.Status != http.StatusOK {
-		return fmt.Errorf("put the first configuration: status %d, %s", response.Status, response.Body)
+		return fmt.Errorf("store the first configuration: status %d, %s", response.Status, response.Body)
 	}
 	return nil
 }
--- a/tool/cmd/loadgen/main.go
+++ b/tool/cmd/loadgen/main.go
@@ -1,6 +1,6 @@
-// Program loadgen plays a deployment's traffic against its gateways and reports counts,
-// rejections by code and percentiles by class. It ends with 1 if a job was forgotten or not
-// finished.
+// Program loadgen generates a deployment's traffic against its gateways, and reports counts,
+// rejections by status code and latency percentiles by class. It exits with 1 if a job was not
+// completed or was reported as unknown after it had been accepted, and with 2 for invalid flags.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	exitUsage
 )
 
-// Bounds of the flags.
+// Upper bounds of flags.
 const (
 	maxDuration   = time.Hour
 	maxRateFactor = 100
@@ -52,19 +52,19 @@
 	return exitOK
 }
 
-// parseConfig reads and checks the flags.
+// parseConfig parses and validates the flags.
 func parseConfig(args []string) (load.Config, error) {
 	var config load.Config
 	fs := flag.NewFlagSet("loadgen", flag.ContinueOnError)
-	name := fs.String("deployment", "reseller", "reseller or podcast")
-	gateways := fs.String("fronts", "", "comma-separated IP:port of gateways (needed); loopback only")
-	fs.Uint64Var(&config.Seed, "seed", 1, "seed of the arrivals")
-	fs.DurationVar(&config.Duration, "for", 30*time.Second, "how long jobs arrive")
-	fs.DurationVar(&config.JobTimeout, "patience", 60*time.Second, "how long a job may take in all")
-	fs.Float64Var(&config.RateFactor, "scale", 1, "factor on the deployment's rates")
-	fs.DurationVar(&config.BurstAt, "crowd-at", 0, "when a burst comes at once")
-	fs.IntVar(&config.BurstJobs, "crowd", 0, "jobs in the burst")
-	fs.StringVar(&config.IDPrefix, "prefix", fmt.Sprintf("load%d", time.Now().Unix()), "beginning of all job IDs")
+	name := fs.String("deployment", "reseller", "deployment whose traffic to generate: reseller or podcast")
+	gateways := fs.String("fronts", "", "comma-separated IP:port of gateways (required); loopback addresses only")
+	fs.Uint64Var(&config.Seed, "seed", 1, "seed of the arrival times")
+	fs.DurationVar(&config.Duration, "for", 30*time.Second, "time span in which jobs arrive")
+	fs.DurationVar(&config.JobTimeout, "patience", 60*time.Second, "time limit of a job, from its arrival to its end")
+	fs.Float64Var(&config.RateFactor, "scale", 1, "factor on the deployment's arrival rates")
+	fs.DurationVar(&config.BurstAt, "crowd-at", 0, "when the burst arrives")
+	fs.IntVar(&config.BurstJobs, "crowd", 0, "number of jobs in the burst")
+	fs.StringVar(&config.IDPrefix, "prefix", fmt.Sprintf("load%d", time.Now().Unix()), "prefix of all job IDs")
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("LOADGEN")); err != nil {
 		return config, err
 	}
@@ -77,12 +77,12 @@
 		return config, err
 	}
 	if fs.NArg() > 0 {
-		return config, fmt.Errorf("unexpected words: %s", strings.Join(fs.Args(), " "))
+		return config, fmt.Errorf("unexpected arguments: %s", strings.Join(fs.Args(), " "))
 	}
 	return config, checkRanges(config)
 }
 
-// checkGateways checks that all gateways are on loopback.
+// checkGateways checks that all gateways have loopback addresses.
 func checkGateways(gateways []string) error {
 	for _, gateway := range gateways {
 		address, err := netip.ParseAddrPort(gateway)
@@ -99,13 +99,13 @@
 func checkRanges(config load.Config) error {
 	switch {
 	case config.Duration <= 0 || config.Duration > maxDuration:
-		return errors.New("-for: over 0, at most 1h")
+		return errors.New("-for: must be positive and at most 1h")
 	case config.JobTimeout <= 0:
-		return errors.New("-patience: over 0")
+		return errors.New("-patience: must be positive")
 	case config.RateFactor <= 0 || config.RateFactor > maxRateFactor:
-		return errors.New("-scale: over 0, at most 100")
+		return errors.New("-scale: must be positive and at most 100")
 	case config.BurstJobs < 0 || config.BurstJobs > maxBurstJobs || config.BurstAt < 0:
-		return errors.New("-crowd: from 0 to 100000, at 0 or later")
+		return errors.New("-crowd: must be from 0 to 100000, and -crowd-at not negative")
 	}
 	return nil
 }
--- a/tool/cmd/measure/main.go
+++ b/tool/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Program measure prints the paired measurements of docs/measurements.md that are made in
-// simulated time.
+// Program measure runs and prints the paired measurements in simulated time that
+// docs/measurements.md describes.
 package main
 
 import (
@@ -20,17 +20,17 @@
 	exitUsage = 2
 )
 
-// maxSeeds is how many pairs of runs one command plays at most.
+// maxSeeds is the maximum number of pairs of runs.
 const maxSeeds = 1000
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
 	fs := flag.NewFlagSet("measure", flag.ContinueOnError)
-	name := fs.String("deployment", "reseller", "reseller or podcast")
+	name := fs.String("deployment", "reseller", "deployment to simulate: reseller or podcast")
 	names := slices.Sorted(maps.Keys(sim.Measurements))
-	what := fs.String("what", "", "one of: "+strings.Join(names, " "))
-	seeds := fs.Int("seeds", 5, "paired runs")
+	what := fs.String("what", "", "measurement to run (required): "+strings.Join(names, " "))
+	seeds := fs.Int("seeds", 5, "number of paired runs")
 	if err := fs.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return exitOK
@@ -42,11 +42,11 @@
 	switch {
 	case err != nil:
 	case !ok:
-		err = errors.New("name a measurement with -what")
+		err = errors.New("-what must name a measurement")
 	case *seeds < 1 || *seeds > maxSeeds:
-		err = fmt.Errorf("-seeds %d: from 1 to %d", *seeds, maxSeeds)
+		err = fmt.Errorf("-seeds %d: must be from 1 to %d", *seeds, maxSeeds)
 	case fs.NArg() > 0:
-		err = fmt.Errorf("unexpected words: %s", strings.Join(fs.Args(), " "))
+		err = fmt.Errorf("unexpected arguments: %s", strings.Join(fs.Args(), " "))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "measure:", err)
--- a/tool/cmd/scale/main.go
+++ b/tool/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Program scale measures what the daemons cost at a size: real core processes on loopback,
-// hollow daemons and workers beside them.
+// Program scale measures the resource usage of the daemons at a given cluster size, with real
+// core processes, hollow daemons and hollow workers on loopback addresses.
 package main
 
 import (
@@ -38,23 +38,23 @@
 	return exitOK
 }
 
-// parseFlags reads the flags of a run, and those that it gives its core processes.
+// parseFlags parses the flags of a run, and those that it passes to its core processes.
 func parseFlags(args []string) (scale.Config, scale.CoreConfig, error) {
 	var config scale.Config
 	var core scale.CoreConfig
 	fs := flag.NewFlagSet("scale", flag.ContinueOnError)
-	fs.IntVar(&config.CoreProcesses, "cores", 3, "core processes")
-	fs.IntVar(&config.Workers, "workers", 11, "hollow workers, each with a hollow node agent")
-	fs.IntVar(&config.Gateways, "doors", 6, "hollow gateways")
-	fs.Float64Var(&config.StartsPerSecond, "starts", 40, "task starts a second")
-	fs.IntVar(&config.TasksPerJob, "width", 3, "tasks of a job")
-	fs.IntVar(&config.SlotsPerTask, "slots", 4000, "slots of a task, of 64000 a worker")
-	fs.DurationVar(&config.TaskDuration, "run-for", time.Second, "how long a task runs")
-	fs.DurationVar(&config.LoadDuration, "for", 10*time.Second, "how long jobs are submitted")
-	fs.IntVar(&config.Port, "port", 7900, "port on every loopback address")
-	fs.StringVar(&config.Directory, "folder", "", "directory for data and logs; a new temporary one if left out")
-	fs.StringVar(&config.ProfilePath, "profile", "", "file to write the core processes' CPU profiles to")
-	fs.StringVar(&core.Address, "core", "", "be the core process at this address (used by scale itself)")
+	fs.IntVar(&config.CoreProcesses, "cores", 3, "number of core processes")
+	fs.IntVar(&config.Workers, "workers", 11, "number of hollow workers, each with a hollow node agent")
+	fs.IntVar(&config.Gateways, "doors", 6, "number of hollow gateways")
+	fs.Float64Var(&config.StartsPerSecond, "starts", 40, "task starts per second")
+	fs.IntVar(&config.TasksPerJob, "width", 3, "tasks per job")
+	fs.IntVar(&config.SlotsPerTask, "slots", 4000, "slots per task; a worker has 64000")
+	fs.DurationVar(&config.TaskDuration, "run-for", time.Second, "run time of a task")
+	fs.DurationVar(&config.LoadDuration, "for", 10*time.Second, "time span in which jobs are submitted")
+	fs.IntVar(&config.Port, "port", 7900, "port used on every loopback address")
+	fs.StringVar(&config.Directory, "folder", "", "directory for data and logs; a temporary one if empty")
+	fs.StringVar(&config.ProfilePath, "profile", "", "prefix of the files for the core processes' CPU profiles")
+	fs.StringVar(&core.Address, "core", "", "run as the core process at this address (set by scale itself)")
 	fs.StringVar(&core.Zone, "site", "", "with -core: the zone")
 	fs.StringVar(&core.DataDir, "data", "", "with -core: the data directory")
 	fs.StringVar(&core.BootstrapMembers, "founders", "", "with -core: the bootstrap members")
@@ -63,7 +63,7 @@
 	return config, core, err
 }
 
-// measure plays a run and prints what it measured.
+// measure performs a run and prints its report.
 func measure(config scale.Config) error {
 	if config.Directory == "" {
 		directory, err := os.MkdirTemp("", "scale")
--- a/tool/cmd/simulate/large_site.go
+++ b/tool/cmd/simulate/large_site.go
@@ -6,8 +6,8 @@
 	"sorrelloom/tool/sim"
 )
 
-// playLargeSite plays runs at the large site with each of the chosen faults, and reports
-// whether all recovered in time.
+// playLargeSite runs the large site with each seed and each selected fault. It reports whether
+// all runs recovered in time without safety violations.
 func playLargeSite(s settings) bool {
 	failed := 0
 	for seed := s.fromSeed; seed <= s.toSeed; seed++ {
--- a/tool/cmd/simulate/main.go
+++ b/tool/cmd/simulate/main.go
@@ -1,6 +1,6 @@
-// Program simulate plays scenarios by seed and judges them. A failing seed prints the
-// command that plays it again. It ends with 0 if nothing was violated, 1 if something was,
-// 2 for wrong usage.
+// Program simulate runs simulated scenarios by seed and checks their invariants. For a failing
+// seed it prints the command that reproduces it. It exits with 0 if all checks passed, 1 if a
+// check was violated, and 2 for invalid flags.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 const (
 	exitOK = iota
-	exitViolated
+	exitViolation
 	exitUsage
 )
 
@@ -24,7 +24,7 @@
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
 	}
-	if errors.Is(err, errUnreadable) {
+	if errors.Is(err, errInvalidFlags) {
 		return exitUsage
 	}
 	if err != nil {
@@ -32,22 +32,22 @@
 		fs.Usage()
 		return exitUsage
 	}
-	held := false
+	passed := false
 	switch {
 	case s.largeSiteFaults != nil:
-		held = playLargeSite(s)
+		passed = playLargeSite(s)
 	case s.requirements != nil:
-		held = playRequirements(s)
+		passed = playRequirements(s)
 	default:
-		held = playScenarios(s)
+		passed = playScenarios(s)
 	}
-	if !held {
-		return exitViolated
+	if !passed {
+		return exitViolation
 	}
 	return exitOK
 }
 
-// logFunc is where the log of a run goes, nowhere unless it is asked for.
+// logFunc returns the function that prints the log of a run, nil unless -verbose is set.
 func (s settings) logFunc() func(string) {
 	if !s.verbose {
 		return nil
--- a/tool/cmd/simulate/requirements.go
+++ b/tool/cmd/simulate/requirements.go
@@ -8,12 +8,13 @@
 	"sorrelloom/tool/sim"
 )
 
-// playRequirements plays the runs of requirements, and reports whether all hold.
+// playRequirements performs the runs of the selected requirements and reports whether all of them
+// hold.
 func playRequirements(s settings) bool {
 	seeds := s.seeds()
 	allHold := true
 	for _, requirement := range s.requirements {
-		if s.freshSeeds > 0 {
+		if s.randomSeeds > 0 {
 			fmt.Printf("seeds of line=%s deployment=%s: %v\n", requirement.Name, s.deployment, seeds)
 		}
 		runs, err := requirement.Runs(s.requirementOptions(len(seeds)), seeds)
@@ -26,7 +27,7 @@
 		for _, line := range lines {
 			fmt.Println("  " + line)
 		}
-		if err := s.keepFailed(requirement, results); err != nil {
+		if err := s.appendFailedRuns(requirement, results); err != nil {
 			fmt.Fprintln(os.Stderr, "simulate:", err)
 			holds = false
 		}
@@ -35,11 +36,11 @@
 	return allHold
 }
 
-// seeds are those of the range, or as many as were asked for, drawn now.
+// seeds returns the seeds from -from to -to, or as many random seeds as -fresh requests.
 func (s *settings) seeds() []uint64 {
 	var seeds []uint64
-	if s.freshSeeds > 0 {
-		for range s.freshSeeds {
+	if s.randomSeeds > 0 {
+		for range s.randomSeeds {
 			seeds = append(seeds, uint64(rand.Uint32()))
 		}
 		return seeds
@@ -50,8 +51,8 @@
 	return seeds
 }
 
-// requirementOptions are the options of runs of requirements. Events are printed for a
-// single run only: several are played at once.
+// requirementOptions returns the options of the runs of a requirement. Events are logged only if
+// there is a single run, because several run in parallel.
 func (s *settings) requirementOptions(runs int) sim.Options {
 	options := sim.Options{Deployment: s.options.Deployment, Duration: s.duration}
 	if runs == 1 && len(s.requirements) == 1 {
@@ -60,8 +61,8 @@
 	return options
 }
 
-// keepFailed appends the commands that play the failed runs again to the file for them.
-func (s *settings) keepFailed(requirement sim.Requirement, results []sim.Result) error {
+// appendFailedRuns appends the commands that reproduce the failed runs to the file of -keep.
+func (s *settings) appendFailedRuns(requirement sim.Requirement, results []sim.Result) error {
 	if s.keepFile == "" {
 		return nil
 	}
--- a/tool/cmd/simulate/scenarios.go
+++ b/tool/cmd/simulate/scenarios.go
@@ -9,10 +9,10 @@
 	"sorrelloom/tool/sim"
 )
 
-// maxPrintedViolations is how many violations of one run are printed.
+// maxPrintedViolations is the maximum number of violations printed for a run.
 const maxPrintedViolations = 12
 
-// playScenarios plays a scenario with each seed, and reports whether nothing was violated.
+// playScenarios runs the scenario with each seed and reports whether all checks passed.
 func playScenarios(s settings) bool {
 	play, checks := sim.PlayFleet, sim.FleetChecks
 	if s.composition == compositionControl {
@@ -22,13 +22,13 @@
 		}
 	}
 	failed := 0
-	judged, excused, played := map[string]int{}, map[string]int{}, map[string]int{}
+	checked, excused, played := map[string]int{}, map[string]int{}, map[string]int{}
 	for seed := s.fromSeed; seed <= s.toSeed; seed++ {
 		options := s.options
 		options.Seed = seed
 		result := play(options)
 		printResult(result)
-		addCounts(judged, result.Judged)
+		addCounts(checked, result.Judged)
 		addCounts(excused, result.Excused)
 		addCounts(played, result.FaultsPlayed)
 		if len(result.Violations) > 0 {
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, check := range checks {
-		fmt.Printf("judged check=%s times=%d\n", check, judged[check])
+		fmt.Printf("judged check=%s times=%d\n", check, checked[check])
 	}
 	for _, reason := range slices.Sorted(maps.Keys(excused)) {
 		fmt.Printf("excused %s times=%d\n", reason, excused[reason])
@@ -62,7 +62,7 @@
 		load.Percentile(r.QuickStartMillis, 50), load.Percentile(r.QuickStartMillis, 99), len(r.Violations))
 }
 
-// printViolations prints the violations of a run, and the command that plays it again.
+// printViolations prints the violations of a run and the command that reproduces it.
 func printViolations(s settings, r sim.Result) {
 	for i, violation := range r.Violations {
 		if i == maxPrintedViolations {
--- a/tool/cmd/simulate/settings.go
+++ b/tool/cmd/simulate/settings.go
@@ -14,83 +14,83 @@
 	"sorrelloom/tool/sim"
 )
 
-// Names of the compositions.
+// Names of the compositions, which determine the processes of a simulated cluster.
 const (
 	compositionFleet   = "fleet"
 	compositionControl = "center"
 )
 
-// errUnreadable says that the flags could not be read; the flag set has said why.
-var errUnreadable = errors.New("flags cannot be read")
+// errInvalidFlags means that the flags could not be parsed; the flag set has printed the reason.
+var errInvalidFlags = errors.New("invalid flags")
 
-// maxSeeds is how many seeds one command plays at most.
+// maxSeeds bounds the difference between the last and the first seed.
 const maxSeeds = 1_000_000
 
-// maxFreshSeeds is how many seeds one command draws at most.
+// maxFreshSeeds is the maximum number of random seeds.
 const maxFreshSeeds = 10_000
 
-// flags are the command-line flags as they are given.
+// flags are the values of the command-line flags.
 type flags struct {
 	deployment, faults, requirement, composition, site, largeSiteFault string
 	keepFile                                                           string
 	fromSeed, toSeed                                                   uint64
-	freshSeeds                                                         int
+	randomSeeds                                                        int
 	duration                                                           time.Duration
 	bounded, tenants, verbose                                          bool
 	share, scale                                                       float64
 	rate                                                               int
 }
 
-// settings are what the flags ask for.
+// settings are the flags with the options derived from them.
 type settings struct {
 	flags
-	options         sim.Options // without a seed
+	options         sim.Options // Seed is not set
 	requirements    []sim.Requirement
 	largeSiteFaults []string
 }
 
-// define defines the flags.
-func (f *flags) define(fs *flag.FlagSet) {
-	fs.StringVar(&f.deployment, "deployment", "reseller", "reseller or podcast")
+// register registers the flags in a flag set.
+func (f *flags) register(fs *flag.FlagSet) {
+	fs.StringVar(&f.deployment, "deployment", "reseller", "deployment to simulate: reseller or podcast")
 	fs.Uint64Var(&f.fromSeed, "from", 1, "first seed")
 	fs.Uint64Var(&f.toSeed, "to", 1, "last seed")
 	fs.StringVar(&f.faults, "faults", "all",
-		"comma-separated faults, all, or none: "+strings.Join(sim.FleetFaultNames(), " "))
-	fs.DurationVar(&f.duration, "for", 60*time.Second, "how long jobs and faults come, in simulated time")
+		"comma-separated faults, or all or none: "+strings.Join(sim.FleetFaultNames(), " "))
+	fs.DurationVar(&f.duration, "for", 60*time.Second, "simulated time span in which jobs arrive and faults occur")
 	fs.StringVar(&f.requirement, "line", "",
-		"play one line of the requirements, by name, or all, and say what was judged; -faults is not used")
-	fs.IntVar(&f.freshSeeds, "fresh", 0, "with -line: play so many seeds drawn now, and print them; -from and -to "+
-		"are not used")
-	fs.StringVar(&f.keepFile, "keep", "", "with -line: append the commands that play failed runs again to this file")
+		"check the requirement with this name, or every requirement if all; -faults is ignored")
+	fs.IntVar(&f.randomSeeds, "fresh", 0, "with -line: use and print this number of random seeds; -from and -to "+
+		"are ignored")
+	fs.StringVar(&f.keepFile, "keep", "", "with -line: append the commands that reproduce failed runs to this file")
 	fs.StringVar(&f.composition, "composition", compositionFleet,
 		"fleet: replicas, schedulers and gateways; center: control processes, gateways and agents, with faults: "+
 			strings.Join(sim.ControlFaultNames(), " ")+
 			"; or "+sim.CoreFaultSet+": "+strings.Join(sim.CoreFaultNames(), " "))
-	fs.StringVar(&f.site, "site", "small", "size of the composition center: small, which bears the loss of "+
-		"one core process, or middle or grown, of two")
-	fs.BoolVar(&f.tenants, "tenants", false, "with -composition center: all jobs are of tenants, whose limits and "+
+	fs.StringVar(&f.site, "site", "small", "size of the composition center: small, which tolerates the loss of "+
+		"one core process, or middle or grown, which tolerate the loss of two")
+	fs.BoolVar(&f.tenants, "tenants", false, "with -composition center: all jobs belong to tenants, whose limits and "+
 		"keys operators change")
-	fs.BoolVar(&f.bounded, "bounded", false, "processors, connections and disks have bounds; always so with "+
+	fs.BoolVar(&f.bounded, "bounded", false, "limit the capacity of processors, connections and disks; always set with "+
 		"-faults "+sim.CoreFaultSet)
-	fs.Float64Var(&f.share, "share", sim.CoreShare, "part of a core that each process has, with -bounded or "+
+	fs.Float64Var(&f.share, "share", sim.CoreShare, "share of a core that each process has, with -bounded or "+
 		"-faults "+sim.CoreFaultSet)
 	fs.IntVar(&f.rate, "rate", sim.LargeSiteHardware().Links.BytesPerSecond,
-		"bytes a second that each process can send, as -share")
-	fs.StringVar(&f.largeSiteFault, "grown", "", "play runs of 43 s at the large site with this fault, all or "+
-		"none; only -from, -to, -scale, -share and -rate count then")
-	fs.Float64Var(&f.scale, "scale", 0.9, "part of the large site's traffic")
+		"bytes per second that each process can send; applies as -share does")
+	fs.StringVar(&f.largeSiteFault, "grown", "", "run 43 s of the large site with this fault, or all or "+
+		"none; of the other flags, only -from, -to, -scale, -share, -rate and -verbose apply")
+	fs.Float64Var(&f.scale, "scale", 0.9, "factor on the large site's traffic")
 	fs.BoolVar(&f.verbose, "verbose", false, "print every event")
 }
 
-// parseSettings reads and checks the flags.
+// parseSettings parses and validates the flags.
 func parseSettings(fs *flag.FlagSet, args []string) (settings, error) {
 	var s settings
-	s.define(fs)
+	s.register(fs)
 	if err := ff.Parse(fs, args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return s, err
 		}
-		return s, errUnreadable
+		return s, errInvalidFlags
 	}
 	deployment, err := deploy.Get(s.deployment)
 	if err != nil {
@@ -107,7 +107,7 @@
 		return s, err
 	}
 	if fs.NArg() > 0 {
-		return s, fmt.Errorf("unexpected words: %v", fs.Args())
+		return s, fmt.Errorf("unexpected arguments: %v", fs.Args())
 	}
 	return s, s.chooseRequirements()
 }
@@ -115,27 +115,27 @@
 func (f flags) checkRanges() error {
 	switch {
 	case f.toSeed < f.fromSeed || f.toSeed-f.fromSeed > maxSeeds:
-		return fmt.Errorf("-from %d -to %d is no range of seeds", f.fromSeed, f.toSeed)
-	case f.freshSeeds < 0 || f.freshSeeds > maxFreshSeeds:
-		return fmt.Errorf("-fresh %d: from 0 to %d", f.freshSeeds, maxFreshSeeds)
-	case (f.freshSeeds > 0 || f.keepFile != "") && f.requirement == "":
-		return errors.New("-fresh and -keep go with -line")
+		return fmt.Errorf("-from %d -to %d: descending or too long a range of seeds", f.fromSeed, f.toSeed)
+	case f.randomSeeds < 0 || f.randomSeeds > maxFreshSeeds:
+		return fmt.Errorf("-fresh %d: must be from 0 to %d", f.randomSeeds, maxFreshSeeds)
+	case (f.randomSeeds > 0 || f.keepFile != "") && f.requirement == "":
+		return errors.New("-fresh and -keep require -line")
 	case f.duration < 20*time.Second || f.duration > time.Hour:
-		return fmt.Errorf("-for %s: from 20s to 1h", f.duration)
+		return fmt.Errorf("-for %s: must be from 20s to 1h", f.duration)
 	case f.share <= 0 || f.share > 1 || f.rate <= 0:
-		return fmt.Errorf("-share %g -rate %d: a part of a core, and bytes a second", f.share, f.rate)
+		return fmt.Errorf("-share %g -rate %d: -share must be over 0 and at most 1, -rate positive", f.share, f.rate)
 	}
 	return nil
 }
 
-// hardware is what the computers have where they have bounds.
+// hardware returns the hardware limits of the simulated machines.
 func (f flags) hardware() *sim.Hardware {
 	hardware := sim.LargeSiteHardware()
 	hardware.Share, hardware.Links.BytesPerSecond = f.share, f.rate
 	return hardware
 }
 
-// chooseScenario takes the faults, the size and the hardware of a scenario.
+// chooseScenario sets the faults, the size and the hardware limits of the scenario.
 func (s *settings) chooseScenario() error {
 	var parse func(string) ([]string, error)
 	switch s.composition {
@@ -144,7 +144,7 @@
 	case compositionControl:
 		parse = sim.ParseControlFaults
 	default:
-		return fmt.Errorf("-composition %q is neither fleet nor center", s.composition)
+		return fmt.Errorf("-composition %q: must be fleet or center", s.composition)
 	}
 	faults, err := parse(s.faults)
 	if err != nil {
@@ -152,10 +152,10 @@
 	}
 	size, ok := sim.Sizes[s.site]
 	if !ok || size != sim.SmallSize && s.composition != compositionControl {
-		return fmt.Errorf("-site %q: small, or middle or grown with -composition center", s.site)
+		return fmt.Errorf("-site %q: must be small, or with -composition center also middle or grown", s.site)
 	}
 	if s.tenants && s.composition != compositionControl {
-		return errors.New("-tenants goes with -composition center")
+		return errors.New("-tenants requires -composition center")
 	}
 	s.options.Faults, s.options.Size, s.options.Tenants = faults, size, s.tenants
 	if s.bounded || s.faults == sim.CoreFaultSet {
@@ -164,13 +164,13 @@
 	return nil
 }
 
-// chooseRequirements takes the requirements to play, if some are asked for.
+// chooseRequirements sets the requirements to check, if -line is given.
 func (s *settings) chooseRequirements() error {
 	switch {
 	case s.requirement == "":
 		return nil
 	case s.composition != compositionFleet:
-		return errors.New("-line is for the fleet alone")
+		return errors.New("-line requires -composition fleet")
 	case s.requirement == "all":
 		s.requirements = sim.Requirements
 		return nil
@@ -180,7 +180,7 @@
 	return err
 }
 
-// chooseLargeSite takes the faults to play at the large site.
+// chooseLargeSite sets the hardware limits and the faults of the large site.
 func (s *settings) chooseLargeSite() error {
 	s.options.Hardware = s.hardware()
 	names := sim.LargeSiteFaultNames()
@@ -190,7 +190,7 @@
 	case s.largeSiteFault == "none" || slices.Contains(names, s.largeSiteFault):
 		s.largeSiteFaults = []string{s.largeSiteFault}
 	default:
-		return fmt.Errorf("no fault %q at the large site; there are none, all and %v", s.largeSiteFault, names)
+		return fmt.Errorf("unknown fault %q of the large site; known are none, all and %v", s.largeSiteFault, names)
 	}
 	return nil
 }
--- a/tool/cmd/verdict/main.go
+++ b/tool/cmd/verdict/main.go
@@ -1,5 +1,6 @@
-// Program verdict reads the output of `go test` and ends with 0 if nothing failed
-// but the tests listed as known to fail, 1 if something else did, 2 for wrong usage.
+// Program verdict reads the output of `go test` and compares its failures with the list of known
+// failures. It exits with 0 if only listed tests failed, 1 for any other failure, and 2 for
+// invalid usage or unreadable files.
 package main
 
 import (
@@ -22,11 +23,11 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	status := flag.Int("status", 0, "what go test ended with")
-	list := flag.String("known", "KNOWN-RED.txt", "the list of tests known to fail; none if there is no such file")
+	status := flag.Int("status", 0, "exit code of go test")
+	list := flag.String("known", "KNOWN-RED.txt", "file with the list of known failures; empty if the file does not exist")
 	flag.Parse()
 	if flag.NArg() != 1 {
-		fmt.Fprintln(os.Stderr, "verdict: one file with the output of go test is needed")
+		fmt.Fprintln(os.Stderr, "verdict: one file with the output of go test is required")
 		return exitUsage
 	}
 	v, err := judge(*status == 0, flag.Arg(0), *list)
--- a/tool/deploy/deploy.go
+++ b/tool/deploy/deploy.go
@@ -1,4 +1,4 @@
-// Package deploy describes the two deployments of today as data: zones, workers,
+// Package deploy defines the two existing deployments as data: zones, workers,
 // configuration and traffic.
 package deploy
 
@@ -11,20 +11,20 @@
 	"sorrelloom/core/state"
 )
 
-// Traffic is one kind of job: how often it comes and what it is made of.
+// Traffic is one kind of job of a deployment, with its arrival rate.
 type Traffic struct {
 	Class     string
 	PerSecond float64
-	// StepWidths is how many tasks each step has.
+	// StepWidths is the number of tasks of each step.
 	StepWidths []int
-	// RunMillis is how long each task runs.
+	// RunMillis is the run time of each task.
 	RunMillis int64
-	// Cores is how many cores each task needs.
+	// Cores is the number of cores that each task needs.
 	Cores int
 }
 
-// Deployment is one deployment: a service with its configuration, and its traffic: quick
-// jobs first, then batches, then long ones.
+// Deployment is a service with its configuration and its traffic. Traffic lists quick jobs
+// first, then batch jobs, then long ones.
 type Deployment struct {
 	Name    string
 	Service string
@@ -41,7 +41,7 @@
 //go:embed podcast.json
 var podcastConfig []byte
 
-// How many processes both deployments have, and how large their workers are.
+// The number of processes, and the size of the workers, in both deployments.
 const (
 	Workers        = 11
 	SlotsPerWorker = 8
@@ -51,10 +51,10 @@
 	Gateways       = 8
 )
 
-// zones are those of both deployments.
+// zones are the zones of both deployments.
 var zones = []string{"a", "b", "c"}
 
-// deployments are all deployments by name.
+// deployments maps names to deployments.
 var deployments = map[string]Deployment{
 	"reseller": {
 		Name: "reseller", Service: "tickets", Config: resellerConfig, Zones: zones, CoresPerWorker: 64,
@@ -74,18 +74,18 @@
 	},
 }
 
-// Get finds a deployment by name.
+// Get returns the deployment with the given name.
 func Get(name string) (Deployment, error) {
 	deployment, ok := deployments[name]
 	if !ok {
 		names := slices.Sorted(maps.Keys(deployments))
-		return Deployment{}, fmt.Errorf("no deployment %q; there are %v", name, names)
+		return Deployment{}, fmt.Errorf("unknown deployment %q; known are %v", name, names)
 	}
 	return deployment, nil
 }
 
-// NewJob makes a job of a kind of traffic. Steps are layers of tasks; each task of a step
-// depends on all of the step before.
+// NewJob creates a job of this kind. Each task of a step depends on all tasks of the previous
+// step.
 func (t Traffic) NewJob(service, id string) state.JobSpec {
 	spec := state.JobSpec{ID: id, Service: service, Class: t.Class}
 	var previous []string
--- a/tool/e2e/faults_test.go
+++ b/tool/e2e/faults_test.go
@@ -21,7 +21,8 @@
 	"sorrelloom/tool/fleet"
 )
 
-// TestFleetSurvivesPrimaryKill kills the primary replica while jobs run, and submits more.
+// TestFleetSurvivesPrimaryKill kills the primary replica while jobs run and submits more jobs.
+// All jobs must finish, and another replica must become primary.
 func TestFleetSurvivesPrimaryKill(t *testing.T) {
 	f := startFleet(t, "reseller", 3, 2, 4)
 	var jobs []state.JobSpec
@@ -33,11 +34,11 @@
 	var outcome gateway.Outcome
 	if err != nil || large.Status != http.StatusRequestEntityTooLarge || large.Decode(&outcome) != nil ||
 		outcome.Code != status.TooLarge {
-		t.Errorf("a body of 5 MiB: %v %d %s", err, large.Status, large.Body)
+		t.Errorf("reply to a body of 5 MiB: %v %d %s", err, large.Status, large.Body)
 	}
 	primary := f.Primary()
 	if primary == "" {
-		t.Fatal("no replica says that it serves")
+		t.Fatal("no replica reports to be serving")
 	}
 	f.must(f.Kill(primary))
 	for i := range 6 {
@@ -53,14 +54,14 @@
 	f.checkRuns(jobs)
 }
 
-// jobWaves are waves of jobs, each of which is done before the next one comes.
+// jobWaves submits jobs in waves, each of which must be done before the next one starts.
 type jobWaves struct {
 	*testFleet
 	jobs []state.JobSpec
 }
 
-// play submits a wave of jobs and waits until they are done.
-func (w *jobWaves) play(name string) {
+// runWave submits a wave of jobs and waits until they are done.
+func (w *jobWaves) runWave(name string) {
 	w.t.Helper()
 	first := len(w.jobs)
 	for i := range 6 {
@@ -73,20 +74,20 @@
 	}
 }
 
-// TestFleetUnderFreezesPartitionsAndEmptyReplica breaks one thing after the other while jobs
-// come, and waits after each until jobs submitted after it are done.
+// TestFleetUnderFreezesPartitionsAndEmptyReplica injects one fault after the other, and requires
+// that the jobs submitted during and after each fault finish.
 func TestFleetUnderFreezesPartitionsAndEmptyReplica(t *testing.T) {
 	f := startFleet(t, "podcast", 3, 3, 4)
 	waves := &jobWaves{testFleet: f}
-	waves.play("quiet")
+	waves.runWave("quiet")
 	waves.freezePrimary()
-	waves.breakAndMend([2]string{"scheduler-1", "front-1"}, f.Freeze, f.Resume, "scheduler-and-gateway-frozen")
-	waves.play("both-resumed")
-	waves.breakAndMend([2]string{"scheduler-2", "front-2"}, f.Kill, f.StartProcess, "scheduler-and-gateway-killed")
+	waves.runWaveDuringFault([2]string{"scheduler-1", "front-1"}, f.Freeze, f.Resume, "scheduler-and-gateway-frozen")
+	waves.runWave("both-resumed")
+	waves.runWaveDuringFault([2]string{"scheduler-2", "front-2"}, f.Kill, f.StartProcess, "scheduler-and-gateway-killed")
 	waves.partitionPrimary()
 	waves.replacePrimary()
 	f.must(f.Kill(f.Primary()))
-	waves.play("killed-again")
+	waves.runWave("killed-again")
 	f.checkRuns(waves.jobs)
 
 	f.raceConfigChanges()
@@ -98,27 +99,28 @@
 	w.t.Helper()
 	frozen := w.Primary()
 	w.must(w.Freeze(frozen))
-	w.play("primary-frozen")
+	w.runWave("primary-frozen")
 	w.must(w.Resume(frozen))
 	changed := func() bool {
 		primary := w.Primary()
 		return primary != "" && primary != frozen
 	}
 	if !fleet.Poll(eventTimeout, changed) {
-		w.t.Fatalf("the frozen primary %s still leads", frozen)
+		w.t.Fatalf("the frozen primary %s is still the primary", frozen)
 	}
-	w.play("primary-resumed")
+	w.runWave("primary-resumed")
 }
 
-// breakAndMend does something to two processes, plays a wave of jobs, and mends them.
-func (w *jobWaves) breakAndMend(names [2]string, breakOne, mendOne func(name string) error, wave string) {
+// runWaveDuringFault injects a fault into two processes, runs a wave of jobs, and undoes the
+// fault.
+func (w *jobWaves) runWaveDuringFault(names [2]string, inject, heal func(name string) error, wave string) {
 	w.t.Helper()
 	for _, name := range names {
-		w.must(breakOne(name))
+		w.must(inject(name))
 	}
-	w.play(wave)
+	w.runWave(wave)
 	for _, name := range names {
-		w.must(mendOne(name))
+		w.must(heal(name))
 	}
 }
 
@@ -135,12 +137,13 @@
 		}
 	}
 	setPartition(true)
-	w.play("primary-partitioned")
+	w.runWave("primary-partitioned")
 	setPartition(false)
-	w.play("primary-reconnected")
+	w.runWave("primary-reconnected")
 }
 
-// replacePrimary kills the primary, and adds an empty replica at a new address.
+// replacePrimary kills the primary and adds an empty replica at a new address, which must become
+// a voter.
 func (w *jobWaves) replacePrimary() {
 	const name = "keeper-new"
 	w.t.Helper()
@@ -159,10 +162,11 @@
 	if !joined {
 		w.t.Fatal("the empty replica at a new address did not join")
 	}
-	w.play("replica-replaced")
+	w.runWave("replica-replaced")
 }
 
-// verifyAudit verifies the audit logs of all replicas, which must have at least some entries.
+// verifyAudit verifies the audit logs of all replicas, which must have at least minEntries
+// entries.
 func (f *testFleet) verifyAudit(minEntries int) {
 	f.t.Helper()
 	var logs []string
@@ -178,7 +182,8 @@
 	}
 }
 
-// raceConfigChanges lets two operators change the configuration on the same version at once.
+// raceConfigChanges sends two concurrent changes with the same base version. One must succeed,
+// the other must be rejected with the new version.
 func (f *testFleet) raceConfigChanges() {
 	f.t.Helper()
 	response, err := f.Client.Call("GET", "/v1/plan", nil, nil, callTimeout)
@@ -206,7 +211,7 @@
 	var lost gateway.Outcome
 	if winner.Status != http.StatusOK || loser.Status != http.StatusConflict || loser.Decode(&lost) != nil ||
 		lost.Version != current.Version+1 {
-		f.t.Errorf("one wins, the other is told the version: %d %s, %d %s",
+		f.t.Errorf("want one success and one conflict with the new version, got %d %s, %d %s",
 			winner.Status, winner.Body, loser.Status, loser.Body)
 	}
 }
--- a/tool/e2e/fleet_test.go
+++ b/tool/e2e/fleet_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs real fleets of processes on loopback. Every wait is for an event, bounded
-// by a time far above what it takes.
+// Package e2e tests fleets of real processes on loopback addresses. Every wait is for an event,
+// with a timeout far above the time that the event usually takes.
 package e2e
 
 import (
@@ -23,7 +23,7 @@
 )
 
 const (
-	// eventTimeout bounds every wait for an event.
+	// eventTimeout bounds the wait for an event.
 	eventTimeout = 60 * time.Second
 	callTimeout  = 10 * time.Second
 )
@@ -49,7 +49,7 @@
 	os.Exit(status)
 }
 
-// freeBasePort finds a run of ports that nobody listens on.
+// freeBasePort returns a port that is followed by count unused ports.
 func freeBasePort(t *testing.T, count int) int {
 	t.Helper()
 	for base := 21000; base < 32000; base += 200 {
@@ -68,15 +68,15 @@
 	return 0
 }
 
-// testFleet is a fleet under test with what is done to it.
+// testFleet is a fleet under test. Its methods fail the test on errors.
 type testFleet struct {
 	*fleet.Fleet
 	t          *testing.T
 	deployment deploy.Deployment
 }
 
-// startFleet starts a fleet, waits until it is ready, and puts its configuration. If the test
-// fails, the ends of the logs are printed.
+// startFleet starts a fleet, waits until it is ready, and stores its configuration. If the test
+// fails, the ends of the processes' logs are printed.
 func startFleet(t *testing.T, name string, schedulers, gateways, workers int) *testFleet {
 	t.Helper()
 	deployment, err := deploy.Get(name)
@@ -102,7 +102,7 @@
 	}
 	response, err := f.Client.Call("PUT", "/v1/plan?base=0", deployment.Config, nil, callTimeout)
 	if err != nil || response.Status != http.StatusOK {
-		t.Fatalf("put the configuration: %v %s", err, response.Body)
+		t.Fatalf("store the configuration: %v %s", err, response.Body)
 	}
 	return &testFleet{f, t, deployment}
 }
@@ -125,12 +125,12 @@
 	}
 }
 
-// newJob makes a job of one of the deployment's kinds of traffic.
+// newJob creates a job of the deployment's traffic with the given index.
 func (f *testFleet) newJob(traffic int, id string) state.JobSpec {
 	return f.deployment.Traffic[traffic].NewJob(f.deployment.Service, id)
 }
 
-// submit submits a job until it is accepted.
+// submit submits a job, with retries until it is accepted.
 func (f *testFleet) submit(spec state.JobSpec) {
 	f.t.Helper()
 	body, err := json.Marshal(spec)
@@ -151,7 +151,7 @@
 	done := fleet.Poll(eventTimeout, func() bool {
 		response, err := f.Client.Call("GET", "/v1/jobs/"+id+"?wait=2s", nil, nil, callTimeout)
 		if err == nil && response.Status == http.StatusNotFound {
-			f.t.Fatalf("job %s was accepted and is called unknown", id)
+			f.t.Fatalf("job %s was accepted but is reported as unknown", id)
 		}
 		return err == nil && response.Status == http.StatusOK && response.Decode(&view) == nil &&
 			view.State == state.Done
@@ -161,7 +161,7 @@
 	}
 }
 
-// call sends an operator's request until there is a clear reply.
+// call sends an operator's request, with retries until there is a reply other than 503.
 func (f *testFleet) call(method, path string, body []byte) client.Response {
 	f.t.Helper()
 	var response client.Response
@@ -176,7 +176,7 @@
 	return response
 }
 
-// mustCall sends an operator's request, which must succeed.
+// mustCall sends an operator's request and fails the test unless it succeeds.
 func (f *testFleet) mustCall(method, path string, body []byte) {
 	f.t.Helper()
 	if response := f.call(method, path, body); response.Status != http.StatusOK {
@@ -184,7 +184,7 @@
 	}
 }
 
-// processesOf lists the processes of a role.
+// processesOf returns the processes of a role.
 func (f *testFleet) processesOf(role string) []*fleet.Process {
 	f.t.Helper()
 	var processes []*fleet.Process
@@ -198,8 +198,8 @@
 	return processes
 }
 
-// collectRecords collects the workers' own records, which know nothing of the replicated
-// state.
+// collectRecords collects the workers' own records of their runs, which are independent of the
+// replicated state.
 func (f *testFleet) collectRecords() (runs []fakeworker.Run, workers []fakeworker.Config) {
 	f.t.Helper()
 	capacity := state.Resources{Slots: deploy.SlotsPerWorker, Cores: f.deployment.CoresPerWorker}
@@ -217,8 +217,8 @@
 	return runs, workers
 }
 
-// checkRuns has the oracle judge the workers' records. Every task of the jobs must have
-// succeeded once.
+// checkRuns checks the workers' records with the oracle. Every task of the jobs must have
+// succeeded exactly once.
 func (f *testFleet) checkRuns(jobs []state.JobSpec) {
 	f.t.Helper()
 	runs, workers := f.collectRecords()
--- a/tool/e2e/operators_test.go
+++ b/tool/e2e/operators_test.go
@@ -16,7 +16,8 @@
 	"sorrelloom/tool/sim"
 )
 
-// drainedZone and the workers that leave are those that operators drain.
+// The zone and the worker that operators drain, the worker that leaves on its own, and another
+// worker.
 const (
 	drainedZone   = "b"
 	drainedWorker = "standin-1"
@@ -24,19 +25,20 @@
 	otherWorker   = "standin-2"
 )
 
-// shortJobsFor is how long short jobs come after the drains: well over the longest bound.
-const shortJobsFor = 8 * time.Second
+// shortJobsDuration is how long short jobs are submitted after the drains. It is well above the
+// longest time bound that the oracle checks.
+const shortJobsDuration = 8 * time.Second
 
-// clock is the time by which all records are noted.
-func clock() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// wallClock returns the time used in all records, as the duration since the Unix epoch.
+func wallClock() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// recordedFleet is a fleet whose clients and operators note what they see.
+// recordedFleet is a fleet whose clients and operators record their observations.
 type recordedFleet struct {
 	*testFleet
 	records sim.Records
 }
 
-// submitRecorded submits a job, and returns its number among the records.
+// submitRecorded submits a job and returns its index in the job records.
 func (f *recordedFleet) submitRecorded(spec state.JobSpec) int {
 	f.t.Helper()
 	f.submit(spec)
@@ -44,7 +46,7 @@
 	return len(f.records.Jobs) - 1
 }
 
-// readState reads the state of a job, and notes when it has ended.
+// readState returns the state of a job, and records when it has ended.
 func (f *recordedFleet) readState(number int) string {
 	f.t.Helper()
 	record := &f.records.Jobs[number]
@@ -55,12 +57,12 @@
 	}
 	record.State = view.State
 	if slices.Contains([]string{state.Done, state.Failed, state.Cancelled}, view.State) {
-		record.EndedAt = clock()
+		record.EndedAt = wallClock()
 	}
 	return view.State
 }
 
-// waitState waits until a job is in a state.
+// waitState waits until a job is in the wanted state.
 func (f *recordedFleet) waitState(number int, want string) {
 	f.t.Helper()
 	if !fleet.Poll(eventTimeout, func() bool { return f.readState(number) == want }) {
@@ -69,18 +71,18 @@
 	}
 }
 
-// cancelLargeJob cancels a job of many tasks while it runs, and returns its number.
+// cancelLargeJob cancels a job with many tasks while it runs, and returns its index.
 func (f *recordedFleet) cancelLargeJob() int {
 	f.t.Helper()
 	traffic := deploy.Traffic{Class: "check", StepWidths: []int{80}, RunMillis: 1500, Cores: 1}
 	job := f.submitRecorded(traffic.NewJob(f.deployment.Service, "cancelled"))
 	f.waitState(job, state.Running)
 	f.mustCall("DELETE", "/v1/jobs/cancelled", nil)
-	f.records.Jobs[job].CancelledAt = clock()
+	f.records.Jobs[job].CancelledAt = wallClock()
 	return job
 }
 
-// runGangAndFailingJob runs a gang, and a job that fails more often than it may.
+// runGangAndFailingJob runs a gang, and a job that exceeds its allowed failures.
 func (f *recordedFleet) runGangAndFailingJob() {
 	f.t.Helper()
 	service := f.deployment.Service
@@ -95,14 +97,14 @@
 	f.waitState(gangJob, state.Done)
 }
 
-// drain drains a zone and a worker, and has another worker say that it leaves.
+// drain drains a zone and a worker, and makes another worker announce that it leaves.
 func (f *recordedFleet) drain() {
 	f.t.Helper()
 	if response := f.call("POST", "/v1/sites/nowhere/empty", nil); response.Status != http.StatusNotFound {
-		f.t.Errorf("a zone that does not exist: %d %s", response.Status, response.Body)
+		f.t.Errorf("drain of an unknown zone: %d %s", response.Status, response.Body)
 	}
 	f.mustCall("POST", "/v1/sites/"+drainedZone+"/empty", nil)
-	f.records.DrainedZones = append(f.records.DrainedZones, sim.ZoneDrain{Zone: drainedZone, From: clock()})
+	f.records.DrainedZones = append(f.records.DrainedZones, sim.ZoneDrain{Zone: drainedZone, From: wallClock()})
 	f.mustCall("POST", "/v1/workers/"+drainedWorker+"/drain", nil)
 	f.recordLeaving(drainedWorker)
 	leaving, err := f.Process(leavingWorker)
@@ -115,29 +117,29 @@
 	f.recordLeaving(leavingWorker)
 }
 
-// recordLeaving notes that a worker leaves for good.
+// recordLeaving records that a worker leaves permanently.
 func (f *recordedFleet) recordLeaving(worker string) {
 	f.records.LeavingWorkers = append(f.records.LeavingWorkers,
-		sim.WorkerDrain{Worker: worker, From: clock(), To: math.MaxInt64})
+		sim.WorkerDrain{Worker: worker, From: wallClock(), To: math.MaxInt64})
 }
 
-// refillAfterShortJobs runs short jobs one after the other for a while, and refills the
-// drained zone.
+// refillAfterShortJobs runs short jobs sequentially for shortJobsDuration after the drain of the
+// zone, then refills the zone.
 func (f *recordedFleet) refillAfterShortJobs() {
 	f.t.Helper()
 	drain := &f.records.DrainedZones[0]
 	submitted := 0
-	for ; clock() < drain.From+shortJobsFor; submitted++ {
+	for ; wallClock() < drain.From+shortJobsDuration; submitted++ {
 		f.waitState(f.submitRecorded(f.newJob(0, fmt.Sprintf("short-%d", submitted))), state.Done)
 	}
 	if submitted == 0 {
 		f.t.Error("no short jobs were submitted")
 	}
 	f.mustCall("POST", "/v1/sites/"+drainedZone+"/refill", nil)
-	drain.To = clock()
+	drain.To = wallClock()
 }
 
-// changeConfig changes the configuration, which every daemon must show.
+// changeConfig changes the configuration. Every daemon must report the new version.
 func (f *recordedFleet) changeConfig() {
 	f.t.Helper()
 	f.mustCall("PATCH", "/v1/plan?force=true", []byte(`{"limits":{"maxLosses":21}}`))
@@ -157,10 +159,10 @@
 	}
 }
 
-// judge has the oracle judge all records.
-func (f *recordedFleet) judge() {
+// checkRecords checks all records with the oracle, and that each relevant check was exercised.
+func (f *recordedFleet) checkRecords() {
 	f.t.Helper()
-	violations, judged := sim.CheckRecords(f.records)
+	violations, checked := sim.CheckRecords(f.records)
 	for _, violation := range violations {
 		f.t.Errorf("%s: %s", violation.Check, violation.Reason)
 	}
@@ -168,8 +170,8 @@
 		"start-while-draining", "start-in-emptied-site", "start-after-cancel", "gang-alone", "defects-spent",
 		"finished-with-open-task", "twice-at-once", "over-room",
 	} {
-		if judged[check] == 0 {
-			f.t.Errorf("%s judged nothing", check)
+		if checked[check] == 0 {
+			f.t.Errorf("the check %s was never exercised", check)
 		}
 	}
 	attempts := 0
@@ -183,25 +185,24 @@
 	}
 }
 
-// judgeSpoiled has the oracle judge the same records with one start too many, which it must
-// find.
-func (f *recordedFleet) judgeSpoiled() {
+// checkCorruptedRecords adds an illegal start to the records, which the oracle must detect.
+func (f *recordedFleet) checkCorruptedRecords() {
 	f.t.Helper()
 	drainedAt := f.records.DrainedZones[0].From
-	spoiled := f.records
-	spoiled.Runs = append(slices.Clone(f.records.Runs), fakeworker.Run{
+	corrupted := f.records
+	corrupted.Runs = append(slices.Clone(f.records.Runs), fakeworker.Run{
 		Attempt: state.Attempt{Job: "cancelled", Task: "s1-80", Number: 9}, Worker: otherWorker,
 		Class: "check", Service: f.deployment.Service,
 		Start: drainedAt + 6*time.Second, End: drainedAt + 7*time.Second, Outcome: fakeworker.OutcomeStopped,
 	})
-	if found, _ := sim.CheckRecords(spoiled); len(found) < 2 {
-		f.t.Errorf("a start in a drained zone of a cancelled job is not found: %v", found)
+	if found, _ := sim.CheckRecords(corrupted); len(found) < 2 {
+		f.t.Errorf("the oracle missed the start of a cancelled job in a drained zone: %v", found)
 	}
 }
 
-// TestFleetHonorsOperatorRequests drains a zone and workers, cancels a job, starts a gang,
-// spends a task's failures and changes the configuration on real processes, while short jobs
-// come all the time; the workers' records and the times of the replies judge.
+// TestFleetHonorsOperatorRequests drains a zone and workers, cancels a job, runs a gang, exhausts
+// a task's allowed failures and changes the configuration on real processes, while short jobs
+// run. The oracle checks the workers' records against the times of the replies.
 func TestFleetHonorsOperatorRequests(t *testing.T) {
 	f := &recordedFleet{testFleet: startFleet(t, "reseller", 3, 2, 5)}
 	cancelled := f.cancelLargeJob()
@@ -211,6 +212,6 @@
 	f.changeConfig()
 	f.waitState(cancelled, state.Cancelled)
 	f.records.Runs, f.records.Workers = f.collectRecords()
-	f.judge()
-	f.judgeSpoiled()
+	f.checkRecords()
+	f.checkCorruptedRecords()
 }
--- a/tool/eventqueue/queue_test.go
+++ b/tool/eventqueue/queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestQueue runs events by time, those of one time in the order in which they were scheduled,
-// and what lies in the past at once.
+// TestQueue checks that events run in order of time, simultaneous ones in the order in which
+// they were scheduled, and events scheduled for the past immediately after the current one.
 func TestQueue(t *testing.T) {
 	var queue Queue
 	var got []string
@@ -24,7 +24,7 @@
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if queue.Now != 5*time.Second {
-		t.Errorf("it is %s", queue.Now)
+		t.Errorf("the time is %s, want 5s", queue.Now)
 	}
 	queue.RunUntil(6 * time.Second)
 	if len(got) != 5 {
--- a/tool/experiment/compare.go
+++ b/tool/experiment/compare.go
@@ -19,15 +19,15 @@
 func RunTrials(trials []Trial) []Report {
 	reports := make([]Report, len(trials))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	for i := range trials {
 		slots <- struct{}{}
-		open.Go(func() {
+		pending.Go(func() {
 			reports[i] = Simulate(trials[i].Deployment, trials[i].Day, trials[i].Policy)
 			<-slots
 		})
 	}
-	open.Wait()
+	pending.Wait()
 	return reports
 }
 
--- a/tool/verdict/verdict.go
+++ b/tool/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict judges the output of a `go test` run against the list of tests
-// that are known to fail. The run passes if nothing else failed; a listed test is
-// always named, whether it failed or passed.
+// Package verdict compares the output of a `go test` run with a list of known
+// failures. The run passes if only listed tests failed. Listed tests are reported
+// whether they failed or passed.
 package verdict
 
 import (
@@ -12,10 +12,10 @@
 	"strings"
 )
 
-// MaxKnown is how many tests the list may hold.
+// MaxKnown is the maximum number of tests in the list.
 const MaxKnown = 3
 
-// TestID names a top-level test of a package.
+// TestID identifies a top-level test of a package.
 type TestID struct {
 	Package string
 	Test    string
@@ -24,22 +24,22 @@
 func (id TestID) String() string { return id.Package + "." + id.Test }
 
 // KnownFailure is one line of the list: a test, the cause of its failure and the
-// issue that follows it up.
+// issue that tracks it.
 type KnownFailure struct {
 	TestID
 	Cause string
 	Issue string
 }
 
-// ErrTooMany says that the list is longer than it may be.
+// ErrTooMany means that the list has more than MaxKnown entries.
 var ErrTooMany = fmt.Errorf("more than %d tests are listed as failing", MaxKnown)
 
-// ErrMalformed says that a line of the list is not "package.Test: cause; issue".
+// ErrMalformed means that a line of the list is not "package.Test: cause; issue".
 var ErrMalformed = errors.New(`want "package.Test: cause; issue"`)
 
 var knownLine = regexp.MustCompile(`^(\S+)\.(Test\w*): ([^;]+); (.+)$`)
 
-// ParseKnown reads the list of known failures, one to a line.
+// ParseKnown parses a list of known failures with one entry per line. Empty lines are ignored.
 func ParseKnown(list io.Reader) ([]KnownFailure, error) {
 	var known []KnownFailure
 	lines := bufio.NewScanner(list)
@@ -60,12 +60,12 @@
 	return known, lines.Err()
 }
 
-// Failure is a package that failed, with the top-level tests that failed in it.
+// Failure is a failed package with its failed top-level tests.
 type Failure struct {
 	Package string
 	Tests   []string
-	// Complete says that all tests of the package ran: it neither failed to build
-	// nor panicked nor ran out of time.
+	// Complete reports whether all tests of the package ran. It is false if the package
+	// failed to build, panicked or timed out.
 	Complete bool
 }
 
@@ -75,52 +75,52 @@
 	passedPackage = regexp.MustCompile(`^(?:ok  \t|\?   \t)`)
 )
 
-// testsRan is the line that a test binary ends with once all its tests ran.
-const testsRan = "FAIL"
+// testBinaryFailed is the last line of a failed test binary that ran all its tests.
+const testBinaryFailed = "FAIL"
 
-// ParseOutput finds the failures in the output of `go test` without -v, in which
-// the output of each package stands together and ends with its result.
+// ParseOutput parses the failures from the output of `go test` without -v, where the
+// output of each package is contiguous and ends with the result of the package.
 func ParseOutput(output io.Reader) ([]Failure, error) {
 	const longestLine = 1 << 24
 	var failures []Failure
-	var open Failure
+	var current Failure
 	previous := ""
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, longestLine)
 	for lines.Scan() {
 		line := lines.Text()
 		if match := failedTest.FindStringSubmatch(line); match != nil {
-			open.Tests = append(open.Tests, match[1])
+			current.Tests = append(current.Tests, match[1])
 		} else if match := failedPackage.FindStringSubmatch(line); match != nil {
-			open.Package, open.Complete = match[1], previous == testsRan
-			failures, open = append(failures, open), Failure{}
+			current.Package, current.Complete = match[1], previous == testBinaryFailed
+			failures, current = append(failures, current), Failure{}
 		} else if passedPackage.MatchString(line) {
-			open = Failure{}
+			current = Failure{}
 		}
 		previous = line
 	}
 	return failures, lines.Err()
 }
 
-// Verdict is the judgement of one run.
+// Verdict is the result of comparing one run with the list.
 type Verdict struct {
-	// Unexpected are the failures that the list does not explain, in words.
+	// Unexpected describes the failures that are not listed.
 	Unexpected []string
 	// Known are the listed tests that failed.
 	Known []KnownFailure
-	// Passing are the listed tests that ran and passed: they are to be taken off the list.
+	// Passing are the listed tests that did not fail. They should be removed from the list.
 	Passing []KnownFailure
 }
 
-// Passes says whether nothing failed but what is listed.
+// Passes reports whether there are no unlisted failures.
 func (v Verdict) Passes() bool { return len(v.Unexpected) == 0 }
 
-// Judge compares a run with the list. The run succeeded if `go test` ended with 0.
+// Judge compares a run with the list. succeeded says whether `go test` exited with 0.
 func Judge(succeeded bool, failures []Failure, known []KnownFailure) Verdict {
 	var v Verdict
-	failed, cutShort := map[TestID]bool{}, map[string]bool{}
+	failed, incomplete := map[TestID]bool{}, map[string]bool{}
 	for _, failure := range failures {
-		cutShort[failure.Package] = !failure.Complete
+		incomplete[failure.Package] = !failure.Complete
 		for _, test := range failure.Tests {
 			failed[TestID{failure.Package, test}] = true
 		}
@@ -131,12 +131,12 @@
 		switch {
 		case failed[k.TestID]:
 			v.Known = append(v.Known, k)
-		case !cutShort[k.Package]:
+		case !incomplete[k.Package]:
 			v.Passing = append(v.Passing, k)
 		}
 	}
 	for _, failure := range failures {
-		v.Unexpected = append(v.Unexpected, failure.unexplained(listed)...)
+		v.Unexpected = append(v.Unexpected, failure.unexpected(listed)...)
 	}
 	if !succeeded && len(failures) == 0 {
 		v.Unexpected = append(v.Unexpected, "go test failed and names no package")
@@ -144,8 +144,8 @@
 	return v
 }
 
-// unexplained are the faults of a package that the list does not name.
-func (f Failure) unexplained(listed map[TestID]bool) []string {
+// unexpected returns descriptions of the package's failures that are not listed.
+func (f Failure) unexpected(listed map[TestID]bool) []string {
 	var faults []string
 	if !f.Complete {
 		faults = append(faults, f.Package+": not all of its tests ran")
@@ -160,7 +160,7 @@
 	return faults
 }
 
-// Lines are the verdict in words, one finding a line.
+// Lines returns the verdict as text, with one line per finding.
 func (v Verdict) Lines() []string {
 	var lines []string
 	for _, k := range v.Known {
--- a/tool/verdict/verdict_test.go
+++ b/tool/verdict/verdict_test.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	passed = "ok  \tloom/core\t0.2s\n?   \tloom/wire\t[no test files]\n"
-	oneRed = "--- FAIL: TestLeads (0.10s)\n    --- FAIL: TestLeads/alone (0.10s)\n" +
+	passed   = "ok  \tloom/core\t0.2s\n?   \tloom/wire\t[no test files]\n"
+	oneFails = "--- FAIL: TestLeads (0.10s)\n    --- FAIL: TestLeads/alone (0.10s)\n" +
 		"        a_test.go:3: no\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	twoRed = "--- FAIL: TestLeads (0.10s)\n--- FAIL: TestVotes (0.10s)\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	panics = "--- FAIL: TestLeads (0.10s)\npanic: boom [recovered]\n\tgoroutine 7\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	late   = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\nFAIL\tloom/keeper\t2400s\nFAIL\n"
-	broken = "# loom/keeper\n./a.go:3: undefined: x\nFAIL\tloom/keeper [build failed]\nFAIL\n"
-	other  = "--- FAIL: TestLeads (0.10s)\nFAIL\nFAIL\tloom/agent\t0.3s\nFAIL\n"
-	inMain = "cannot make a folder\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	red    = "loom/keeper.TestLeads: two leaders for 1 s; issue 12\n"
+	twoFail = "--- FAIL: TestLeads (0.10s)\n--- FAIL: TestVotes (0.10s)\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
+	panics  = "--- FAIL: TestLeads (0.10s)\npanic: boom [recovered]\n\tgoroutine 7\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
+	timeout = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\nFAIL\tloom/keeper\t2400s\nFAIL\n"
+	noBuild = "# loom/keeper\n./a.go:3: undefined: x\nFAIL\tloom/keeper [build failed]\nFAIL\n"
+	other   = "--- FAIL: TestLeads (0.10s)\nFAIL\nFAIL\tloom/agent\t0.3s\nFAIL\n"
+	badMain = "cannot make a folder\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
+	listed  = "loom/keeper.TestLeads: two leaders for 1 s; issue 12\n"
 )
 
-// TestOnlyListedTestsMayFail judges runs with and without a list.
-func TestOnlyListedTestsMayFail(t *testing.T) {
+// TestJudgeAllowsOnlyListedFailures checks the verdicts on outputs of go test, with and without a
+// list of known failures.
+func TestJudgeAllowsOnlyListedFailures(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		succeeded bool
@@ -31,21 +32,21 @@
 		lines     []string
 	}{
 		{"all pass, none listed", true, passed, "", true, nil},
-		{"all pass, one listed", true, passed, red, true,
+		{"all pass, one listed", true, passed, listed, true,
 			[]string{"known red, but passes, take it off the list: loom/keeper.TestLeads"}},
-		{"one fails, none listed", false, passed + oneRed, "", false, []string{"failed: loom/keeper.TestLeads"}},
-		{"one fails, listed", false, passed + oneRed, red, true,
+		{"one fails, none listed", false, passed + oneFails, "", false, []string{"failed: loom/keeper.TestLeads"}},
+		{"one fails, listed", false, passed + oneFails, listed, true,
 			[]string{"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12"}},
-		{"one more fails", false, twoRed + passed, red, false, []string{
+		{"an unlisted test fails as well", false, twoFail + passed, listed, false, []string{
 			"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12", "failed: loom/keeper.TestVotes"}},
-		{"the same name in another package", false, oneRed + other, red, false, []string{
+		{"the same name in another package", false, oneFails + other, listed, false, []string{
 			"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12", "failed: loom/agent.TestLeads"}},
-		{"the listed test panics, others did not run", false, panics, red, false, []string{
+		{"the listed test panics, others did not run", false, panics, listed, false, []string{
 			"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12", "failed: loom/keeper: not all of its tests ran"}},
-		{"out of time", false, late, red, false, []string{"failed: loom/keeper: not all of its tests ran"}},
-		{"does not build", false, broken, red, false, []string{"failed: loom/keeper: not all of its tests ran"}},
-		{"fails outside of a test", false, inMain, "", false, []string{"failed: loom/keeper: failed outside of a test"}},
-		{"fails and says nothing", false, "", "", false, []string{"failed: go test failed and names no package"}},
+		{"times out", false, timeout, listed, false, []string{"failed: loom/keeper: not all of its tests ran"}},
+		{"does not build", false, noBuild, listed, false, []string{"failed: loom/keeper: not all of its tests ran"}},
+		{"fails outside of a test", false, badMain, "", false, []string{"failed: loom/keeper: failed outside of a test"}},
+		{"go test fails without output", false, "", "", false, []string{"failed: go test failed and names no package"}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			known, err := ParseKnown(strings.NewReader(row.list))
@@ -64,15 +65,16 @@
 	}
 }
 
-// TestListIsShortAndNamesCauses refuses lists that are too long or leave something out.
-func TestListIsShortAndNamesCauses(t *testing.T) {
+// TestParseKnownRejectsInvalidLists checks that lists with too many entries, or with an entry
+// without a package, cause or issue, are rejected.
+func TestParseKnownRejectsInvalidLists(t *testing.T) {
 	for _, row := range []struct {
 		list string
 		want error
 	}{
 		{"", nil},
-		{strings.Repeat(red, MaxKnown), nil},
-		{strings.Repeat(red, MaxKnown+1), ErrTooMany},
+		{strings.Repeat(listed, MaxKnown), nil},
+		{strings.Repeat(listed, MaxKnown+1), ErrTooMany},
 		{"loom/keeper.TestLeads\n", ErrMalformed},
 		{"loom/keeper.TestLeads: no issue\n", ErrMalformed},
 		{"TestLeads: no package; issue 12\n", ErrMalformed},
