--- a/tool/cmd/experiment/output.go
+++ b/tool/cmd/experiment/output.go
@@ -42,16 +42,16 @@
 func printComparison(s settings, trials []experiment.Trial, reports []experiment.Report) {
 	perPolicy := len(trials) / len(s.policies)
 	fmt.Printf("%-22s", "policy")
-	for _, f := range metrics {
-		fmt.Printf(" %8s", f.name)
+	for _, m := range metrics {
+		fmt.Printf(" %8s", m.name)
 	}
 	fmt.Println("   worth less that of the first, 95 %, better and worse")
 	base := values(reports[:perPolicy], metrics[0])
 	for i, policy := range s.policies {
 		own := reports[i*perPolicy : (i+1)*perPolicy]
 		fmt.Printf("%-22s", policy.Name)
-		for _, f := range metrics {
-			fmt.Printf(" %8.4f", experiment.Mean(values(own, f)))
+		for _, m := range metrics {
+			fmt.Printf(" %8.4f", experiment.Mean(values(own, m)))
 		}
 		d := experiment.Compare(values(own, metrics[0]), base)
 		fmt.Printf("   %+.4f ± %.4f  %d, %d of %d\n", d.Mean, d.HalfWidth, d.Better, d.Worse, perPolicy)
@@ -61,10 +61,10 @@
 	}
 }
 
-func values(reports []experiment.Report, f metric) []float64 {
+func values(reports []experiment.Report, m metric) []float64 {
 	var result []float64
 	for _, report := range reports {
-		result = append(result, f.value(report))
+		result = append(result, m.value(report))
 	}
 	return result
 }
@@ -127,14 +127,14 @@
 	}
 	writer := csv.NewWriter(file)
 	header := []string{"policy", "deployment", "day", "seed"}
-	for _, f := range metrics {
-		header = append(header, f.name)
+	for _, m := range metrics {
+		header = append(header, m.name)
 	}
 	rows := [][]string{header}
 	for i, trial := range trials {
 		row := []string{trial.Policy.Name, trial.Deployment.Name, trial.Kind, strconv.FormatUint(trial.Day.Seed, 10)}
-		for _, f := range metrics {
-			row = append(row, strconv.FormatFloat(f.value(reports[i]), 'f', 4, 64))
+		for _, m := range metrics {
+			row = append(row, strconv.FormatFloat(m.value(reports[i]), 'f', 4, 64))
 		}
 		rows = append(rows, row)
 	}
--- a/tool/cmd/fakeworker/server.go
+++ b/tool/cmd/fakeworker/server.go
@@ -129,20 +129,20 @@
 
 // postFaults replaces the faults that the worker injects.
 func (s *workerServer) postFaults(_ context.Context, c *app.RequestContext) {
-	var order faultRequest
-	if err := json.Unmarshal(c.Request.Body(), &order); err != nil {
+	var request faultRequest
+	if err := json.Unmarshal(c.Request.Body(), &request); err != nil {
 		c.Data(http.StatusBadRequest, "text/plain", []byte(err.Error()))
 		return
 	}
 	s.mu.Lock()
-	s.worker.SetFaults(order.Faults)
-	s.isolated = order.Isolated
-	if order.Leave {
+	s.worker.SetFaults(request.Faults)
+	s.isolated = request.Isolated
+	if request.Leave {
 		s.worker.Leave()
 	}
 	s.mu.Unlock()
 	pool.Go(s.tick)
-	respond(c, order)
+	respond(c, request)
 }
 
 func respond(c *app.RequestContext, v any) {
--- a/tool/cmd/simulate/large_site.go
+++ b/tool/cmd/simulate/large_site.go
@@ -6,9 +6,9 @@
 	"sorrelloom/tool/sim"
 )
 
-// playLargeSite runs the large site with each seed and each selected fault. It reports whether
+// runLargeSite runs the large site with each seed and each selected fault. It reports whether
 // all runs recovered in time without safety violations.
-func playLargeSite(s settings) bool {
+func runLargeSite(s settings) bool {
 	failed := 0
 	for seed := s.fromSeed; seed <= s.toSeed; seed++ {
 		for _, fault := range s.largeSiteFaults {
--- a/tool/cmd/simulate/main.go
+++ b/tool/cmd/simulate/main.go
@@ -35,11 +35,11 @@
 	passed := false
 	switch {
 	case s.largeSiteFaults != nil:
-		passed = playLargeSite(s)
+		passed = runLargeSite(s)
 	case s.requirements != nil:
-		passed = playRequirements(s)
+		passed = checkRequirements(s)
 	default:
-		passed = playScenarios(s)
+		passed = runScenarios(s)
 	}
 	if !passed {
 		return exitViolation
--- a/tool/cmd/simulate/requirements.go
+++ b/tool/cmd/simulate/requirements.go
@@ -8,9 +8,9 @@
 	"sorrelloom/tool/sim"
 )
 
-// playRequirements performs the runs of the selected requirements and reports whether all of them
+// checkRequirements performs the runs of the selected requirements and reports whether all of them
 // hold.
-func playRequirements(s settings) bool {
+func checkRequirements(s settings) bool {
 	seeds := s.seeds()
 	allHold := true
 	for _, requirement := range s.requirements {
@@ -63,10 +63,10 @@
 
 // appendFailedRuns appends the commands that reproduce the failed runs to the file of -keep.
 func (s *settings) appendFailedRuns(requirement sim.Requirement, results []sim.Result) error {
-	if s.keepFile == "" {
+	if s.failedRunsFile == "" {
 		return nil
 	}
-	file, err := os.OpenFile(s.keepFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(s.failedRunsFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
--- a/tool/cmd/simulate/scenarios.go
+++ b/tool/cmd/simulate/scenarios.go
@@ -12,8 +12,8 @@
 // maxPrintedViolations is the maximum number of violations printed for a run.
 const maxPrintedViolations = 12
 
-// playScenarios runs the scenario with each seed and reports whether all checks passed.
-func playScenarios(s settings) bool {
+// runScenarios runs the scenario with each seed and reports whether all checks passed.
+func runScenarios(s settings) bool {
 	play, checks := sim.PlayFleet, sim.FleetChecks
 	if s.composition == compositionControl {
 		play, checks = sim.PlayControl, sim.ControlChecks
--- a/tool/cmd/simulate/settings.go
+++ b/tool/cmd/simulate/settings.go
@@ -26,13 +26,13 @@
 // maxSeeds bounds the difference between the last and the first seed.
 const maxSeeds = 1_000_000
 
-// maxFreshSeeds is the maximum number of random seeds.
-const maxFreshSeeds = 10_000
+// maxRandomSeeds is the maximum number of random seeds.
+const maxRandomSeeds = 10_000
 
 // flags are the values of the command-line flags.
 type flags struct {
 	deployment, faults, requirement, composition, site, largeSiteFault string
-	keepFile                                                           string
+	failedRunsFile                                                     string
 	fromSeed, toSeed                                                   uint64
 	randomSeeds                                                        int
 	duration                                                           time.Duration
@@ -61,7 +61,7 @@
 		"check the requirement with this name, or every requirement if all; -faults is ignored")
 	fs.IntVar(&f.randomSeeds, "fresh", 0, "with -line: use and print this number of random seeds; -from and -to "+
 		"are ignored")
-	fs.StringVar(&f.keepFile, "keep", "", "with -line: append the commands that reproduce failed runs to this file")
+	fs.StringVar(&f.failedRunsFile, "keep", "", "with -line: append the commands that reproduce failed runs to this file")
 	fs.StringVar(&f.composition, "composition", compositionFleet,
 		"fleet: replicas, schedulers and gateways; center: control processes, gateways and agents, with faults: "+
 			strings.Join(sim.ControlFaultNames(), " ")+
@@ -116,9 +116,9 @@
 	switch {
 	case f.toSeed < f.fromSeed || f.toSeed-f.fromSeed > maxSeeds:
 		return fmt.Errorf("-from %d -to %d: descending or too long a range of seeds", f.fromSeed, f.toSeed)
-	case f.randomSeeds < 0 || f.randomSeeds > maxFreshSeeds:
-		return fmt.Errorf("-fresh %d: must be from 0 to %d", f.randomSeeds, maxFreshSeeds)
-	case (f.randomSeeds > 0 || f.keepFile != "") && f.requirement == "":
+	case f.randomSeeds < 0 || f.randomSeeds > maxRandomSeeds:
+		return fmt.Errorf("-fresh %d: must be from 0 to %d", f.randomSeeds, maxRandomSeeds)
+	case (f.randomSeeds > 0 || f.failedRunsFile != "") && f.requirement == "":
 		return errors.New("-fresh and -keep require -line")
 	case f.duration < 20*time.Second || f.duration > time.Hour:
 		return fmt.Errorf("-for %s: must be from 20s to 1h", f.duration)
--- a/tool/experiment/deployment.go
+++ b/tool/experiment/deployment.go
@@ -28,7 +28,7 @@
 // Class is a kind of job that is submitted to a deployment.
 type Class struct {
 	Name     string `json:"name"`
-	Priority int    `json:"priority"` // 0 is the highest
+	Priority int    `json:"priority"` // 0 is the most urgent
 	// PerSecond is the mean arrival rate at a load of 1.
 	PerSecond float64 `json:"perSecond"`
 	// Worth is what a job earns if it finishes within its latency target, LateWorth what it
--- a/tool/experiment/simulation.go
+++ b/tool/experiment/simulation.go
@@ -70,7 +70,7 @@
 		s.addJob(plan)
 	}
 	for _, fault := range day.Faults {
-		s.schedule(fault)
+		s.scheduleFault(fault)
 	}
 	s.queue.After(pollInterval, s.poll)
 	s.queue.RunUntil(trafficStart + day.Length)
@@ -183,8 +183,8 @@
 	return slices.ContainsFunc(s.openJobs, func(job *simulatedJob) bool { return !job.plan.class.LongRunning })
 }
 
-// schedule schedules the start and the end of a fault, on workers chosen when it starts.
-func (s *simulation) schedule(fault Fault) {
+// scheduleFault schedules the start and the end of a fault, on workers chosen when it starts.
+func (s *simulation) scheduleFault(fault Fault) {
 	if fault.Kind == FaultOutage {
 		s.scheduleOutage(fault)
 		return
--- a/tool/scale/scale.go
+++ b/tool/scale/scale.go
@@ -113,7 +113,7 @@
 	if err := c.startGateways(); err != nil {
 		return err
 	}
-	if err := c.putConfig(); err != nil {
+	if err := c.storeConfig(); err != nil {
 		return err
 	}
 	return c.startWorkers()
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// putConfig stores the configuration. It retries until the core processes serve.
-func (c *hollowCluster) putConfig() error {
+// storeConfig stores the configuration. It retries until the core processes serve.
+func (c *hollowCluster) storeConfig() error {
 	command := state.Command{
 		Kind: state.KindChangeConfig, ConfigChange: state.ConfigChange{Forced: true, Body: []byte(configBody)},
 	}
--- a/tool/verdict/verdict_test.go
+++ b/tool/verdict/verdict_test.go
@@ -13,7 +13,8 @@
 		"        a_test.go:3: no\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
 	twoFail = "--- FAIL: TestLeads (0.10s)\n--- FAIL: TestVotes (0.10s)\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
 	panics  = "--- FAIL: TestLeads (0.10s)\npanic: boom [recovered]\n\tgoroutine 7\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	timeout = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\nFAIL\tloom/keeper\t2400s\nFAIL\n"
+	timeout = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\n" +
+		"FAIL\tloom/keeper\t2400s\nFAIL\n"
 	noBuild = "# loom/keeper\n./a.go:3: undefined: x\nFAIL\tloom/keeper [build failed]\nFAIL\n"
 	other   = "--- FAIL: TestLeads (0.10s)\nFAIL\nFAIL\tloom/agent\t0.3s\nFAIL\n"
 	badMain = "cannot make a folder\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
