--- a/tool/experiment/control.go
+++ b/tool/experiment/control.go
@@ -120,7 +120,7 @@
 }
 
 // submit applies a client's command and reports whether it was accepted.
-func (c *controlPlane) submit(command state.Command) (taken bool) {
+func (c *controlPlane) submit(command state.Command) (accepted bool) {
 	if !c.serving {
 		return false
 	}
--- a/tool/experiment/report.go
+++ b/tool/experiment/report.go
@@ -129,16 +129,16 @@
 func (j *simulatedJob) evaluate(report *Report) earning {
 	plan := j.plan
 	result := earning{at: plan.at, class: plan.class.Name, owed: plan.worth}
-	took, aim := j.endedAt-plan.at, plan.latencyTarget()
+	took, target := j.endedAt-plan.at, plan.latencyTarget()
 	report.Jobs++
 	if j.firstStart > 0 {
 		report.firstStarts = append(report.firstStarts, j.firstStart-plan.at)
 	}
 	late := plan.class.LateWorth / plan.class.Worth
 	switch {
-	case j.endedAt == 0 || !j.succeeded || took > lateFactor*aim:
+	case j.endedAt == 0 || !j.succeeded || took > lateFactor*target:
 		report.Lost++
-	case took > aim:
+	case took > target:
 		report.Late++
 		result.served, result.earned = 1, plan.worth*late
 	default:
@@ -267,10 +267,10 @@
 	for _, step := range plan.steps {
 		at = s.nextServedTime(at + slices.Max(step.runTimes))
 	}
-	switch took, aim := at-plan.at, plan.latencyTarget(); {
-	case took <= aim:
+	switch took, target := at-plan.at, plan.latencyTarget(); {
+	case took <= target:
 		return 1
-	case took <= lateFactor*aim:
+	case took <= lateFactor*target:
 		return plan.class.LateWorth / plan.class.Worth
 	}
 	return 0
--- a/tool/experiment/simulation.go
+++ b/tool/experiment/simulation.go
@@ -110,11 +110,11 @@
 }
 
 func (s *simulation) deliver(id string, reply wire.HeartbeatReply) {
-	var index, life int
-	if _, err := fmt.Sscanf(id, "w%d.%d", &index, &life); err != nil {
+	var index, generation int
+	if _, err := fmt.Sscanf(id, "w%d.%d", &index, &generation); err != nil {
 		panic(err)
 	}
-	if w := s.workers[index]; w.generation == life {
+	if w := s.workers[index]; w.generation == generation {
 		w.handleReply(reply)
 	}
 }
--- a/tool/experiment/worker.go
+++ b/tool/experiment/worker.go
@@ -103,9 +103,9 @@
 	w.up, w.leaving, w.awaitingReply, w.heartbeatNumber, w.leaseExpiry = true, false, false, 0, 0
 	w.runs, w.started = map[state.Attempt]*run{}, map[state.Attempt]bool{}
 	w.pendingStarts, w.pendingStops, w.unackedEnds, w.backoffUntil = nil, nil, nil, 0
-	life := w.generation
+	generation := w.generation
 	phase := time.Duration(w.simulation.rng.Int64N(int64(w.simulation.policy.CallInterval)))
-	w.simulation.queue.After(phase, func() { w.callAgent(life) })
+	w.simulation.queue.After(phase, func() { w.callAgent(generation) })
 }
 
 // crash ends the worker process and all its runs.
@@ -121,11 +121,11 @@
 
 // callAgent performs one call of the worker to its agent: it reports ended runs and receives the
 // pending orders. It schedules the next call.
-func (w *worker) callAgent(life int) {
-	if !w.up || w.generation != life {
+func (w *worker) callAgent(generation int) {
+	if !w.up || w.generation != generation {
 		return
 	}
-	w.simulation.queue.After(w.simulation.policy.CallInterval, func() { w.callAgent(life) })
+	w.simulation.queue.After(w.simulation.policy.CallInterval, func() { w.callAgent(generation) })
 	for _, r := range w.sortedRuns() {
 		if !r.ended {
 			continue
@@ -261,9 +261,9 @@
 		return
 	}
 	w.leaseExpiry = expiry
-	life := w.generation
+	generation := w.generation
 	w.simulation.queue.At(expiry, func() {
-		if !w.up || w.generation != life || w.simulation.queue.Now < w.leaseExpiry {
+		if !w.up || w.generation != generation || w.simulation.queue.Now < w.leaseExpiry {
 			return
 		}
 		for _, r := range w.sortedRuns() {
@@ -342,18 +342,18 @@
 }
 
 // setSlowdown changes the factor on run times and reschedules the ends of the current runs.
-func (w *worker) setSlowdown(slow float64) {
+func (w *worker) setSlowdown(slowdown float64) {
 	for _, r := range w.sortedRuns() {
 		if r.ended {
 			continue
 		}
 		w.updateProgress(r)
-		r.factor *= slow / w.slowdown
+		r.factor *= slowdown / w.slowdown
 		if r.gang == nil || len(r.gang.members) == r.gang.size {
 			w.scheduleEnd(r)
 		}
 	}
-	w.slowdown = slow
+	w.slowdown = slowdown
 }
 
 // finishRun ends a run and the other members of its gang. They get the same outcome if it
--- a/tool/verdict/verdict_test.go
+++ b/tool/verdict/verdict_test.go
@@ -13,8 +13,9 @@
 		"        a_test.go:3: no\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
 	twoFail = "--- FAIL: TestLeads (0.10s)\n--- FAIL: TestVotes (0.10s)\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
 	panics  = "--- FAIL: TestLeads (0.10s)\npanic: boom [recovered]\n\tgoroutine 7\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
-	timeout = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\n" +
-		"FAIL\tloom/keeper\t2400s\nFAIL\n"
+
+	hangs = "panic: test timed out after 40m0s\n\trunning tests:\n\t\tTestLeads (40m0s)\nFAIL\tloom/keeper\t2400s\nFAIL\n"
+
 	noBuild = "# loom/keeper\n./a.go:3: undefined: x\nFAIL\tloom/keeper [build failed]\nFAIL\n"
 	other   = "--- FAIL: TestLeads (0.10s)\nFAIL\nFAIL\tloom/agent\t0.3s\nFAIL\n"
 	badMain = "cannot make a folder\nFAIL\nFAIL\tloom/keeper\t0.3s\nFAIL\n"
@@ -44,7 +45,7 @@
 			"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12", "failed: loom/agent.TestLeads"}},
 		{"the listed test panics, others did not run", false, panics, listed, false, []string{
 			"known red: loom/keeper.TestLeads: two leaders for 1 s; issue 12", "failed: loom/keeper: not all of its tests ran"}},
-		{"times out", false, timeout, listed, false, []string{"failed: loom/keeper: not all of its tests ran"}},
+		{"times out", false, hangs, listed, false, []string{"failed: loom/keeper: not all of its tests ran"}},
 		{"does not build", false, noBuild, listed, false, []string{"failed: loom/keeper: not all of its tests ran"}},
 		{"fails outside of a test", false, badMain, "", false, []string{"failed: loom/keeper: failed outside of a test"}},
 		{"go test fails without output", false, "", "", false, []string{"failed: go test failed and names no package"}},
