--- a/tool/experiment/deployment.go
+++ b/tool/experiment/deployment.go
@@ -60,7 +60,7 @@
 	Gangs        float64 `json:"gangs"`
 	Checkpointed float64 `json:"checkpointed"`
 	Duplicates   float64 `json:"duplicates"`
-	// FailOnce jobs have one task whose first attempt fails on any worker.
+	// FailOnce jobs have one task that fails once, whichever worker runs it.
 	FailOnce  float64 `json:"failOnce"`
 	Cancelled float64 `json:"cancelled"`
 
@@ -103,8 +103,8 @@
 //go:embed print_shops.json
 var printShops []byte
 
-// PrintShops returns the embedded deployment of a chain of print shops: 66 workers of three
-// sizes in racks of eight.
+// PrintShops returns the embedded deployment of print shops: 66 workers of three sizes in racks
+// of eight.
 func PrintShops() (Deployment, error) { return ParseDeployment(printShops) }
 
 // ParseDeployment decodes a deployment from JSON.
--- a/tool/experiment/job.go
+++ b/tool/experiment/job.go
@@ -19,8 +19,8 @@
 	causeNotRunning = "not at work"
 )
 
-// startLatency is the longest start delay that is attributed to dispatch; any delay beyond it
-// counts as waiting for resources.
+// startLatency is the longest start delay that is attributed to dispatch; the rest of a delay is
+// attributed to the cause that waitCause returns.
 const startLatency = 250 * time.Millisecond
 
 // simulatedJob is a job during a simulation, with its outcome.
