--- a/tool/sim/agent_worker.go
+++ b/tool/sim/agent_worker.go
@@ -206,7 +206,7 @@
 	w.renewLease(sentAt, reply.LeaseRemaining)
 	for _, attempt := range reply.Stops {
 		if _, ok := w.active[attempt]; ok {
-			delay := w.scenario.world.millisFrom(minStopTime, stopTimeJitter)
+			delay := w.scenario.world.randomMillis(minStopTime, stopTimeJitter)
 			w.scenario.world.After(delay, func() { w.endRun(attempt, fakeworker.OutcomeStopped) })
 		}
 	}
--- a/tool/sim/control_faults.go
+++ b/tool/sim/control_faults.go
@@ -60,7 +60,7 @@
 // scheduleFaults schedules the selected faults, one last fault at the end of Duration, and
 // the probes recoveryBound after it.
 func (s *ControlScenario) scheduleFaults() {
-	s.world.drawFaults(s.options, s.playFault)
+	s.world.scheduleRandomFaults(s.options, s.playFault)
 	if last := s.options.LastFault; last != "" || len(s.options.Faults) > 0 {
 		if last == "" {
 			last = lastFaults[s.options.Seed%uint64(len(lastFaults))]
--- a/tool/sim/control_faults_daemons.go
+++ b/tool/sim/control_faults_daemons.go
@@ -14,7 +14,7 @@
 
 // millisBetween draws a duration between two numbers of milliseconds.
 func (s *ControlScenario) millisBetween(least, most int) time.Duration {
-	return s.world.millisFrom(least, most-least)
+	return s.world.randomMillis(least, most-least)
 }
 
 // kill ends a process, or half of the time cuts the power of its host, which also loses
@@ -77,7 +77,7 @@
 	for _, machine := range s.machines {
 		if machine.worker != nil && machine.worker.up {
 			machine.worker.terminate()
-			s.world.After(s.world.millisFrom(500, 2000), func() { s.bootWorker(machine) })
+			s.world.After(s.world.randomMillis(500, 2000), func() { s.bootWorker(machine) })
 		}
 	}
 	for _, n := range s.daemons {
@@ -94,7 +94,7 @@
 		n = s.leaderOrRandom()
 	}
 	s.world.Freeze(n)
-	s.world.After(s.world.millisFrom(500, 9000), func() { s.world.Unfreeze(n) })
+	s.world.After(s.world.randomMillis(500, 9000), func() { s.world.Unfreeze(n) })
 	s.expectDegradedByDaemons(15 * time.Second)
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	oneWay := s.world.coin()
-	s.blockLinkFor(from.address, to.address, oneWay, s.world.secondsFrom(1, 8))
+	s.blockLinkFor(from.address, to.address, oneWay, s.world.randomSeconds(1, 8))
 	s.expectDegradedByDaemons(13 * time.Second)
 }
 
--- a/tool/sim/control_faults_workers.go
+++ b/tool/sim/control_faults_workers.go
@@ -21,7 +21,7 @@
 	}
 	worker.terminate()
 	s.expectDegraded(9 * time.Second)
-	s.world.After(s.world.millisFrom(300, 9000), func() { s.bootWorker(worker.machine) })
+	s.world.After(s.world.randomMillis(300, 9000), func() { s.bootWorker(worker.machine) })
 }
 
 // loseWorkerPermanently crashes a worker, which does not restart. Only workers of the main
@@ -46,7 +46,7 @@
 		return
 	}
 	oneWay := s.world.coin()
-	duration := s.world.millisFrom(1000, 14000)
+	duration := s.world.randomMillis(1000, 14000)
 	s.blockLinkFor(worker.machine.address, worker.machine.agent.address, oneWay, duration)
 	s.expectDegraded(16 * time.Second)
 }
@@ -65,6 +65,6 @@
 // withdrawRandomWorker makes a worker announce a shutdown, shut down and restart.
 func (s *ControlScenario) withdrawRandomWorker() {
 	if worker := s.randomWorker(); worker != nil {
-		worker.leave(s.world.millisFrom(2000, 6000), 3*time.Second)
+		worker.leave(s.world.randomMillis(2000, 6000), 3*time.Second)
 	}
 }
--- a/tool/sim/control_operators.go
+++ b/tool/sim/control_operators.go
@@ -21,7 +21,7 @@
 	at := operatorsFrom
 	for i := 0; at < s.options.Duration-operatorsBefore; i++ {
 		s.world.At(at, actions[i%len(actions)])
-		at += s.world.millisFrom(minOperatorInterval, operatorJitter)
+		at += s.world.randomMillis(minOperatorInterval, operatorJitter)
 	}
 }
 
--- a/tool/sim/control_traffic.go
+++ b/tool/sim/control_traffic.go
@@ -114,7 +114,7 @@
 func (s *ControlScenario) submitRepeated(number int) {
 	repeat := state.Repeat{
 		Count:   4,
-		FirstAt: s.world.wallTime().Add(s.world.millisFrom(0, 3000)).Truncate(time.Millisecond),
+		FirstAt: s.world.wallTime().Add(s.world.randomMillis(0, 3000)).Truncate(time.Millisecond),
 		Every:   millis(1200),
 	}
 	steps := []state.StepSpec{{Count: 2}, {Count: 1, DependsOn: []int{0}}}
--- a/tool/sim/fault_schedule.go
+++ b/tool/sim/fault_schedule.go
@@ -15,8 +15,8 @@
 	faultJitter      = 5000            // in milliseconds
 )
 
-// drawFaults schedules random faults from Options.Faults at random times.
-func (w *World) drawFaults(options Options, play func(name string)) {
+// scheduleRandomFaults schedules random faults from Options.Faults at random times.
+func (w *World) scheduleRandomFaults(options Options, play func(name string)) {
 	at := firstFaultAt
 	for len(options.Faults) > 0 && at < options.Duration-lastFaultBefore {
 		name := options.Faults[w.rng.IntN(len(options.Faults))]
@@ -35,13 +35,13 @@
 	})
 }
 
-// secondsFrom draws a whole number of seconds in the range [least, least+jitter).
-func (w *World) secondsFrom(least, jitter int) time.Duration {
+// randomSeconds draws a whole number of seconds in the range [least, least+jitter).
+func (w *World) randomSeconds(least, jitter int) time.Duration {
 	return time.Duration(least+w.rng.IntN(jitter)) * time.Second
 }
 
-// millisFrom draws a whole number of milliseconds in the range [least, least+jitter).
-func (w *World) millisFrom(least, jitter int) time.Duration {
+// randomMillis draws a whole number of milliseconds in the range [least, least+jitter).
+func (w *World) randomMillis(least, jitter int) time.Duration {
 	return time.Duration(least+w.rng.IntN(jitter)) * time.Millisecond
 }
 
--- a/tool/sim/fleet_clients.go
+++ b/tool/sim/fleet_clients.go
@@ -159,6 +159,6 @@
 	}
 	s.wipeOnAccept = false
 	s.world.Wipe(primary)
-	s.world.After(s.world.millisFrom(1, 4000), func() { s.world.Boot(primary) })
+	s.world.After(s.world.randomMillis(1, 4000), func() { s.world.Boot(primary) })
 	s.expectDegradedByDaemons(14 * time.Second)
 }
--- a/tool/sim/fleet_faults.go
+++ b/tool/sim/fleet_faults.go
@@ -58,7 +58,7 @@
 // scheduleFaults schedules the faults of the run: random ones from Options.Faults, the last
 // one at the end of Duration, and the probes recoveryBound after it.
 func (s *FleetScenario) scheduleFaults() {
-	s.world.drawFaults(s.options, func(name string) {
+	s.world.scheduleRandomFaults(s.options, func(name string) {
 		s.world.logf("fault %s", name)
 		FleetFaults[name](s)
 	})
--- a/tool/sim/fleet_faults_daemons.go
+++ b/tool/sim/fleet_faults_daemons.go
@@ -11,7 +11,7 @@
 func (s *FleetScenario) killDaemon() {
 	n := s.randomDaemon()
 	s.world.Kill(n)
-	s.world.After(s.world.secondsFrom(1, 6), func() { s.world.Boot(n) })
+	s.world.After(s.world.randomSeconds(1, 6), func() { s.world.Boot(n) })
 	s.expectDegradedByDaemons(8 * time.Second)
 }
 
@@ -19,7 +19,7 @@
 func (s *FleetScenario) killPrimary() {
 	if n := s.primary(); n != nil {
 		s.world.Kill(n)
-		s.world.After(s.world.secondsFrom(1, 6), func() { s.world.Boot(n) })
+		s.world.After(s.world.randomSeconds(1, 6), func() { s.world.Boot(n) })
 	}
 	s.expectDegradedByDaemons(9 * time.Second)
 }
@@ -44,7 +44,7 @@
 		}
 	}
 	s.world.Freeze(n)
-	s.world.After(s.world.millisFrom(500, 9000), func() { s.world.Unfreeze(n) })
+	s.world.After(s.world.randomMillis(500, 9000), func() { s.world.Unfreeze(n) })
 	s.expectDegradedByDaemons(14 * time.Second)
 }
 
@@ -95,7 +95,7 @@
 	}
 	n := s.randomReplica()
 	s.world.Wipe(n)
-	s.world.After(s.world.secondsFrom(0, 4), func() { s.world.Boot(n) })
+	s.world.After(s.world.randomSeconds(0, 4), func() { s.world.Boot(n) })
 	s.expectDegradedByDaemons(14 * time.Second)
 }
 
--- a/tool/sim/fleet_faults_workers.go
+++ b/tool/sim/fleet_faults_workers.go
@@ -13,7 +13,7 @@
 	s.expectDegraded(9 * time.Second)
 	s.crashWorker(worker)
 	if s.world.coin() {
-		s.world.After(s.world.secondsFrom(1, 9), func() { s.bootWorker(worker) })
+		s.world.After(s.world.randomSeconds(1, 9), func() { s.bootWorker(worker) })
 	} else {
 		s.world.After(4*time.Second, func() { s.confirmDead(worker) })
 	}
@@ -31,7 +31,7 @@
 		s.world.logf("isolate %s, which runs on", worker.name())
 		s.setIsolated(worker, true)
 		s.expectDegraded(9 * time.Second)
-		s.world.After(s.world.secondsFrom(9, 20), func() {
+		s.world.After(s.world.randomSeconds(9, 20), func() {
 			s.world.logf("reconnect %s", worker.name())
 			s.setIsolated(worker, false)
 			worker.setFaults(s.world.Now, fakeworker.Faults{})
@@ -45,7 +45,7 @@
 	s.world.logf("isolate %s", worker.name())
 	s.setIsolated(worker, true)
 	s.expectDegraded(9 * time.Second)
-	s.world.After(s.world.secondsFrom(2, 14), func() {
+	s.world.After(s.world.randomSeconds(2, 14), func() {
 		s.world.logf("reconnect %s", worker.name())
 		s.setIsolated(worker, false)
 	})
--- a/tool/sim/fleet_operators.go
+++ b/tool/sim/fleet_operators.go
@@ -25,7 +25,7 @@
 	at := operatorsFrom
 	for i := 0; at < s.options.Duration-operatorsBefore; i++ {
 		s.world.At(at, func() { FleetFaults[actions[i%len(actions)]](s) })
-		at += s.world.millisFrom(minOperatorInterval, operatorJitter)
+		at += s.world.randomMillis(minOperatorInterval, operatorJitter)
 	}
 }
 
