--- a/daemon/audit/verify.go
+++ b/daemon/audit/verify.go
@@ -80,7 +80,7 @@
 }
 
 // findGaps follows the entries from the last to the first by their predecessors, and reports
-// predecessors that are in none of the logs. It never moves forward: an entry that names
+// predecessors after FirstIndex that are in none of the logs. It never moves forward: an entry that names
 // itself or a later one as its predecessor is reported, and the search continues with the
 // next lower position.
 func (m *mergedLog) findGaps(report *Report) {
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -63,7 +63,7 @@
 // Phases returns the meter that machines use to attribute the time of their steps to phases.
 func (h *Host) Phases() *machine.PhaseMeter { return h.load.phases }
 
-// Metrics are metrics of a host since its start.
+// Metrics holds the load of a host and its counts of message frames, both since its start.
 type Metrics struct {
 	Load   Load
 	Frames transport.Counts
--- a/daemon/logging/logging.go
+++ b/daemon/logging/logging.go
@@ -4,7 +4,7 @@
 //	time=2026-01-02T03:04:05.006Z level=INFO event=serving node=keeper@10.0.0.1:7000 epoch=4
 //
 // The handler is called directly, since a slog.Logger looks up the caller for every line,
-// although it is not printed here. A node is named by its role on the wire and its address;
+// which is not printed here. A node is named by its role on the wire and its address;
 // the wire name of a replica is keeper.
 package logging
 
--- a/daemon/storage/disk_full.go
+++ b/daemon/storage/disk_full.go
@@ -23,9 +23,9 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// retryWhileDiskFull retries an operation with exponential backoff while the disk is full. To
-// the caller of Write, this looks like a slow disk. It returns ErrClosed if the store is
-// closed meanwhile.
+// retryWhileDiskFull retries an operation with exponential backoff while the disk is full.
+// Before the first retry it removes segments that can be spared. To the caller of Write, this
+// looks like a slow disk. It returns ErrClosed if the store is closed meanwhile.
 func (s *Store) retryWhileDiskFull(path string, attempt func() error) error {
 	var waited, lastLogged time.Duration
 	for delay := minDiskFullDelay; ; delay = min(2*delay, maxDiskFullDelay) {
--- a/daemon/transport/connection.go
+++ b/daemon/transport/connection.go
@@ -21,7 +21,7 @@
 	address  string
 	counters *Counters
 	queue    *sendQueue
-	// peerHeard is signalled when a message from the peer is received.
+	// peerHeard is signalled by the first message on each connection from the peer.
 	peerHeard chan struct{}
 	closed    chan struct{}
 
--- a/daemon/transport/receive_queue_test.go
+++ b/daemon/transport/receive_queue_test.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// TestRequestsDoNotOvertakeOperatorCommands enqueues many reports and a change, and later a query and an
-// operator's command. The change must be dequeued after maxReportsInRow reports, but not
+// TestRequestsDoNotOvertakeOperatorCommands enqueues many reports and a change, and later a
+// query and an operator's command. The change must be dequeued after maxReportsInRow reports, but not
 // before these two.
 func TestRequestsDoNotOvertakeOperatorCommands(t *testing.T) {
 	q := NewReceiveQueue(func() time.Duration { return 0 }, NewCounters())
--- a/daemon/transport/traffic_class.go
+++ b/daemon/transport/traffic_class.go
@@ -39,7 +39,7 @@
 	// leads. They change nothing, are cheap, and are repeated until they are answered.
 	PriorityQuery
 	// PriorityReport is for heartbeats of workers, which report finished attempts, and for
-	// subscriptions and updates of the state feed. They precede new jobs, which could not be
+	// subscriptions and updates of the change feed. They precede new jobs, which could not be
 	// scheduled without the resources that reports free.
 	PriorityReport
 	// PriorityRequest is for all other requests. They are processed after everything else,
@@ -55,8 +55,8 @@
 	// urgentMaxAge bounds the wait of operators' commands. It is as long as their callers
 	// wait.
 	urgentMaxAge = 850 * time.Millisecond
-	// defaultMaxAge bounds the wait of other received requests, and of other frames to be
-	// sent.
+	// defaultMaxAge bounds the wait of messages of the change feed and of unknown kinds, and
+	// that of replies to be sent. Commands have other limits.
 	defaultMaxAge = 2 * time.Second
 	// clusterMaxAge bounds the wait of a frame to be sent to another member. A heartbeat sent
 	// later would be useless.
@@ -133,7 +133,7 @@
 }
 
 // ClassOfKind returns the traffic class of a kind of message. Unknown kinds are handled like
-// those of the state feed.
+// those of the change feed.
 func ClassOfKind(kind string) TrafficClass {
 	if class, ok := classByKind[kind]; ok {
 		return class
--- a/daemon/web/server.go
+++ b/daemon/web/server.go
@@ -51,7 +51,7 @@
 // Server is an HTTP server.
 type Server struct{ engine *server.Hertz }
 
-// New creates a server of the diagnostics. It serves requests once Run is called.
+// New creates a server for the diagnostics. It serves requests once Run is called.
 func New(listener net.Listener, diagnostics Diagnostics) *Server {
 	hlog.SetLevel(hlog.LevelFatal)
 	engine := server.New(
