--- a/tool/sim/checks.go
+++ b/tool/sim/checks.go
@@ -109,6 +109,6 @@
 	lostWorkerBound = 7 * time.Second
 	// unhealthyBound is how long after the end of its faults a worker may count as unhealthy.
 	unhealthyBound = 30 * time.Second
-	// defaultMaxFailures is how many failures a task may have that specifies no number.
+	// defaultMaxFailures is the maximum number of failures of a task that specifies none.
 	defaultMaxFailures = 3
 )
--- a/tool/sim/control_jobs.go
+++ b/tool/sim/control_jobs.go
@@ -13,8 +13,8 @@
 	RunMillis []int64 `json:"runMs"`
 }
 
-// maxFailures is how many failures a task of a class may have; other classes have the
-// default.
+// maxFailures is the maximum number of failures of a task, by class; other classes have
+// defaultMaxFailures.
 var maxFailures = map[string]int{classLong: 5}
 
 // newJob creates and registers a job of steps, with the steps expanded for the oracle. Steps
--- a/tool/sim/control_scenario.go
+++ b/tool/sim/control_scenario.go
@@ -48,9 +48,9 @@
 var (
 	// SmallSize is the default site, also of the tests with fixed seeds.
 	SmallSize = Size{Controls: 3, Gateways: 3, Workers: 11, Slots: 8}
-	// MediumSize is a site that tolerates the loss of two core processes.
+	// MediumSize is a site that tolerates the loss of two control processes.
 	MediumSize = Size{Controls: 6, Proxies: 1, Gateways: 5, Workers: 20, Slots: 8, BackupCount: 2}
-	// LargeSize is the large site, which tolerates the loss of any two core processes.
+	// LargeSize is the large site, which tolerates the loss of any two control processes.
 	LargeSize = Size{
 		Controls: 8, Proxies: 2, Gateways: 19, Workers: 74, Slots: 8, BackupCount: 2, OneService: true,
 	}
@@ -59,9 +59,9 @@
 // Sizes maps the names of sites to their sizes.
 var Sizes = map[string]Size{"small": SmallSize, "middle": MediumSize, "grown": LargeSize}
 
-// ControlScenario is one simulation of the control composition: control processes, each a
-// replica with its own dispatcher, gateways that forward commands to them, and a node agent
-// for each worker. Clients submit jobs of steps through the gateways.
+// ControlScenario is one simulation of the control composition: control processes (the core
+// processes of the platform), each a replica with its own dispatcher, gateways that forward
+// commands to them, and a node agent for each worker. Clients submit jobs of steps through the gateways.
 type ControlScenario struct {
 	scenario // its replicas are the control processes
 	size     Size
--- a/tool/sim/core_faults.go
+++ b/tool/sim/core_faults.go
@@ -17,7 +17,7 @@
 // maxClockStep is the maximum error of a node's wall clock after a step, in either direction.
 const maxClockStep = 5 * time.Second
 
-// CoreFaults maps the names of faults of the core processes, their disks, clocks and
+// CoreFaults maps the names of faults of the control processes, their disks, clocks and
 // connections to the functions that inject them. "all" faults of control scenarios do not
 // include them, so that earlier seeds still give the same runs. Each function reports whether
 // it injected the fault: it skips one that would exceed what the site is built to tolerate.
@@ -37,8 +37,8 @@
 	"planned-leave":      (*ControlScenario).stopControl,
 }
 
-// TurnoverFault replaces all core processes in turn. It takes most of a run, so no set of faults
-// includes it.
+// TurnoverFault replaces all control processes in turn. It takes most of a run, so no set of
+// faults includes it.
 const TurnoverFault = "replaced-in-turn"
 
 // sharedCoreFaults are the faults of ControlFaults that CoreFaultSet includes.
@@ -206,8 +206,8 @@
 	return true
 }
 
-// replaceRemaining replaces the given control processes, each as soon as reserveDiskLoss allows another
-// lost disk.
+// replaceRemaining replaces the given control processes, each as soon as reserveDiskLoss allows
+// another lost disk.
 func (s *ControlScenario) replaceRemaining(remaining []*node) {
 	isGone := func(n *node) bool { return !slices.Contains(s.replicas, n) }
 	if remaining = slices.DeleteFunc(remaining, isGone); len(remaining) == 0 {
--- a/tool/sim/fleet_daemons_test.go
+++ b/tool/sim/fleet_daemons_test.go
@@ -18,7 +18,7 @@
 
 // TestSlowDiskCostsReplicaItsRole guards against replicas that slow down all commits while
 // they keep their role on a slow disk. It makes the disk of the primary, and in another run
-// that of the backup, slow for good. The primary must hand over to a successor, and the
+// that of the backup, permanently slow. The primary must hand over to a successor, and the
 // backup must be replaced.
 func TestSlowDiskCostsReplicaItsRole(t *testing.T) {
 	for _, role := range []string{"primary", "backup"} {
--- a/tool/sim/fleet_faults_daemons.go
+++ b/tool/sim/fleet_faults_daemons.go
@@ -35,7 +35,7 @@
 	s.expectDegradedByDaemons(10 * time.Second)
 }
 
-// freezeDaemon freezes the primary or, with even odds, a random daemon for a while.
+// freezeDaemon freezes a random daemon for a while, half of the time the primary.
 func (s *FleetScenario) freezeDaemon() {
 	n := s.randomDaemon()
 	if s.world.coin() {
@@ -64,7 +64,7 @@
 }
 
 // blockOneWay blocks the link from one random daemon to another for a while, in one
-// direction. With even odds both are replicas.
+// direction. Half of the time both are replicas.
 func (s *FleetScenario) blockOneWay() {
 	from, to := s.randomDaemon(), s.randomDaemon()
 	if s.world.coin() {
@@ -88,7 +88,7 @@
 	s.expectDegradedByDaemons(14 * time.Second)
 }
 
-// wipeReplica kills a random replica and empties its disk, if no other disk is missing.
+// wipeReplica kills a random replica and wipes its disk, if reserveDiskLoss allows it.
 func (s *FleetScenario) wipeReplica() {
 	if !s.reserveDiskLoss() {
 		return
@@ -99,8 +99,8 @@
 	s.expectDegradedByDaemons(14 * time.Second)
 }
 
-// wipePrimaryOnAccept makes the primary lose its disk when the next job is accepted, if no
-// other disk is missing.
+// wipePrimaryOnAccept makes the primary lose its disk when the next job is accepted, if
+// reserveDiskLoss allows it.
 func (s *FleetScenario) wipePrimaryOnAccept() {
 	if !s.reserveDiskLoss() {
 		return
@@ -108,8 +108,8 @@
 	s.wipeOnAccept = true
 }
 
-// replaceReplica kills a random replica for good, and adds one at a new address, whose seeds
-// are three gateways. It does nothing if a disk is missing.
+// replaceReplica kills a random replica permanently, and adds one at a new address, whose
+// seeds are three gateways. It does nothing unless reserveDiskLoss allows another lost disk.
 func (s *FleetScenario) replaceReplica() {
 	if !s.reserveDiskLoss() {
 		return
@@ -139,7 +139,7 @@
 }
 
 // loseZone kills all daemons and workers of a random zone, and restarts them nine seconds
-// later. It does nothing if a disk is missing.
+// later. It does nothing unless reserveDiskLoss allows another lost disk.
 func (s *FleetScenario) loseZone() {
 	if !s.reserveDiskLoss() {
 		return
@@ -188,8 +188,8 @@
 	return s.daemons[deploy.Replicas : deploy.Replicas+deploy.Schedulers]
 }
 
-// replaceScheduler kills a random scheduler for good, and adds one at a new address. All
-// daemons get that one and two gateways as seeds for their next start.
+// replaceScheduler kills a random scheduler permanently, and adds one at a new address.
+// All daemons get that one and two gateways as seeds for their next start.
 func (s *FleetScenario) replaceScheduler() {
 	i := deploy.Replicas + s.world.rng.IntN(deploy.Schedulers)
 	old := s.daemons[i]
--- a/tool/sim/fleet_faults_workers.go
+++ b/tool/sim/fleet_faults_workers.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// isolateDisobedientWorker isolates a random worker for a while, whose runs go on after its
-// lease has expired.
+// isolateDisobedientWorker isolates a random worker for a while, and makes it continue its
+// runs after its lease has expired.
 func (s *FleetScenario) isolateDisobedientWorker() {
 	worker := s.randomWorker()
 	if !worker.up || worker.isolated {
--- a/tool/sim/fleet_operators.go
+++ b/tool/sim/fleet_operators.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// expectConfigOn is expectConfig for one daemon. If the daemon was in fault or no replica
-// served meanwhile, the bound starts anew.
+// expectConfigOn is expectConfig for one daemon. If the daemon had a fault or no replica
+// served in that time, it checks again, with the bound counted from the end of that time.
 func (s *FleetScenario) expectConfigOn(n *node, version uint64, from time.Duration) {
 	s.world.At(from+configBound, func() {
 		versioner, ok := n.machine.(configVersioner)
--- a/tool/sim/fleet_operators_test.go
+++ b/tool/sim/fleet_operators_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// checkState checks that the changes of operator B, the last ones, are in force.
+// checkState checks that the changes of operator B, the last ones, are in effect.
 func (c *operatorCalls) checkState(s *FleetScenario) {
 	read := func(kind string, check func(body string)) {
 		s.world.CallGateway(operatorIn, s.gateways[5], machine.Request{Kind: kind}, 3*time.Second,
@@ -44,7 +44,7 @@
 	})
 	read(gateway.RequestConfigGet, func(body string) {
 		if !strings.Contains(body, `"keep":"12m0s"`) {
-			c.t.Errorf("%s: the older configuration is in force again", c.name)
+			c.t.Errorf("%s: the older configuration is in effect again", c.name)
 		}
 		c.replies["read"]++
 	})
--- a/tool/sim/hardware.go
+++ b/tool/sim/hardware.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Hardware limits the computers of a world. The zero value of a field means no limit.
+// Hardware limits the hosts of a world. The zero value of a field means no limit.
 type Hardware struct {
 	// Share is the fraction of a core that each process can use.
 	Share float64
@@ -46,7 +46,7 @@
 // The window lies between the initial 64 KB and the maximum of some MB that a kernel
 // provides. The other values are those of daemon/transport. At 1 Gbit/s the large site
 // recovers from a wiped and from a frozen leader in 3.5 s, but does not recover when all
-// core processes are killed at once (seed 1).
+// control processes are killed at once (seed 1).
 var assumedLinks = Links{
 	BytesPerSecond: 12_500_000, Window: 256 << 10, WriteTimeout: 3 * time.Second, QueueMax: 8192,
 }
--- a/tool/sim/large_site.go
+++ b/tool/sim/large_site.go
@@ -35,8 +35,8 @@
 	minRateFraction = 0.8
 )
 
-// LargeSiteFaults are the faults at the large site, by name. They hit the leader or all core
-// processes.
+// LargeSiteFaults are the faults at the large site, by name. They hit the leader, or all
+// control processes and proxies.
 var LargeSiteFaults = map[string]func(*ControlScenario){
 	"leader-killed": func(s *ControlScenario) {
 		n := s.leaderOrRandom()
--- a/tool/sim/large_site_test.go
+++ b/tool/sim/large_site_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestLargeSiteRecovers checks that the start rate is back within 15 s of each fault of the
-// leader or of all core processes at once, and stays there.
+// leader or of all control processes at once, and stays there.
 func TestLargeSiteRecovers(t *testing.T) {
 	for _, r := range playLargeSites(LargeSiteFaultNames(), 1) {
 		t.Logf("%s: %.0f starts per second before, %d records, %d views, starts from the fault on %v, %v",
--- a/tool/sim/lifecycle.go
+++ b/tool/sim/lifecycle.go
@@ -26,7 +26,7 @@
 	w.recordFault(n)
 }
 
-// KillProcess ends a process while its computer keeps running, so that pending writes still
+// KillProcess ends a process while its host keeps running, so that pending writes still
 // reach the disk.
 func (w *World) KillProcess(n *node) {
 	w.Kill(n)
--- a/tool/sim/measurements.go
+++ b/tool/sim/measurements.go
@@ -190,8 +190,8 @@
 		summarize(accepted), summarize(started))
 }
 
-// measureLostWorkers crashes three workers for good, and measures, by class, the time from
-// the loss of each run to the next start of its task. It compares two policies: all classes
+// measureLostWorkers crashes three workers permanently, and measures, by class, the time
+// from the loss of each run to the next start of its task. It compares two policies: all classes
 // restart lost attempts when the lease expires, or the configuration decides by class. An
 // operator confirms the workers dead 20 s after the crash.
 func measureLostWorkers(out io.Writer, deployment deploy.Deployment, seeds int) {
--- a/tool/sim/node.go
+++ b/tool/sim/node.go
@@ -47,7 +47,7 @@
 	down
 )
 
-// node is one simulated daemon: its process, its disk, its clock, and the faults in force.
+// node is one simulated daemon: its process, its disk, its clock, and its active faults.
 type node struct {
 	name, role, zone, address string
 	seeds                     []string
@@ -98,7 +98,7 @@
 	}
 }
 
-// faultyDuring reports whether the node was in fault at any time in a closed interval.
+// faultyDuring reports whether the node had a fault at any time in a closed interval.
 func (n *node) faultyDuring(from, to time.Duration) bool { return n.faults.anyTouches(from, to) }
 
 // localTime returns the time on the node's own clock, which starts with its process.
--- a/tool/sim/options.go
+++ b/tool/sim/options.go
@@ -37,7 +37,7 @@
 	PrepareControl func(*ControlScenario)
 	// Size is the size of a control scenario's site; the zero value means SmallSize.
 	Size Size
-	// Hardware describes the computers of a control scenario. If it is nil, processing takes
+	// Hardware describes the hosts of a control scenario. If it is nil, processing takes
 	// no time.
 	Hardware *Hardware
 }
--- a/tool/sim/oracle.go
+++ b/tool/sim/oracle.go
@@ -140,7 +140,7 @@
 	return from
 }
 
-// schedulerFaulty reports whether a scheduler was in fault at any time in a closed interval.
+// schedulerFaulty reports whether a scheduler had a fault at any time in a closed interval.
 func (o *oracle) schedulerFaulty(from, to time.Duration) bool {
 	return slices.ContainsFunc(o.daemons, func(n *node) bool {
 		return n.role == roleScheduler && n.faultyDuring(from, to)
--- a/tool/sim/oracle_tasks.go
+++ b/tool/sim/oracle_tasks.go
@@ -116,8 +116,8 @@
 	return ""
 }
 
-// checkFailures checks that a run does not start after its task has had all the failures
-// that it may have. Long-running tasks have no such limit.
+// checkFailures checks that a run does not start after its task has reached its maximum
+// number of failures. Long-running tasks have no such limit.
 func (o *oracle) checkFailures(task taskHistory, r run, failures int) {
 	allowed := task.spec.MaxFailures
 	if allowed == 0 {
--- a/tool/sim/oracle_test.go
+++ b/tool/sim/oracle_test.go
@@ -47,7 +47,7 @@
 	return &o.runs[len(o.runs)-1]
 }
 
-// loseSuccessReport makes worker w1 go silent for good before it can report the success of
+// loseSuccessReport makes worker w1 permanently silent before it can report the success of
 // task b.
 func (o *oracle) loseSuccessReport() {
 	o.workers["w1"].ackedAt = map[state.Attempt]time.Duration{}
@@ -75,8 +75,8 @@
 }
 
 // addAgentFailures changes the history to one of workers with node agents, in which task a
-// has failed twice before, which is the number of failures it may have. The second failure
-// is acknowledged only if the argument says so.
+// has failed twice before, its maximum number of failures. The second failure is
+// acknowledged only if acknowledged is set.
 func (o *oracle) addAgentFailures(acknowledged bool) {
 	o.agentWorkers = true
 	o.jobs[0].spec.Tasks[0].MaxFailures = 2
--- a/tool/sim/oracle_watch.go
+++ b/tool/sim/oracle_watch.go
@@ -25,14 +25,15 @@
 	w.After(leaderPollInterval, func() { o.watchLeader(w, primary) })
 }
 
-// markDegraded excludes a time from now on, and degradedBefore, from the latency checks.
+// markDegraded excludes the time from now-degradedBefore to now+duration from the latency
+// checks.
 func (o *oracle) markDegraded(now, duration time.Duration) {
 	o.degraded = append(o.degraded, span{now - degradedBefore, now + duration})
 }
 
 // pendingRequest is an operator's request that waits for its reply. Bounds count from the
-// first time at which the daemons could have committed it, given the faults that were in
-// force.
+// first time at which the daemons could have committed it, given the faults that were
+// active.
 type pendingRequest struct {
 	committableAt time.Duration
 	answered      bool
--- a/tool/sim/scenario.go
+++ b/tool/sim/scenario.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// reserveDiskLoss reports whether a fault may destroy a disk now. If so, it lets no other fault do
-// so for diskRepairTime. No more than one disk may be missing at a time, so every voter of
-// the newest view must be up.
+// reserveDiskLoss reports whether a fault may destroy a disk now. If so, it lets no other
+// fault do so for diskRepairTime. No more than one disk may be missing at a time, so every
+// voter of the newest view must be up.
 func (s *scenario) reserveDiskLoss() bool {
 	if s.world.Now < s.nextDiskLossAt || !allMembersUp(s.replicas) {
 		return false
@@ -86,11 +86,12 @@
 	return true
 }
 
-// expectDegraded excludes a time from now on from the checks of latency.
+// expectDegraded excludes the time from now-degradedBefore to now+duration from the latency
+// checks.
 func (s *scenario) expectDegraded(duration time.Duration) { s.markDegraded(s.world.Now, duration) }
 
-// expectDegradedByDaemons is degrade for a fault of the daemons themselves. It also records now as
-// the time of the last such fault.
+// expectDegradedByDaemons is expectDegraded for a fault of the daemons themselves. It also
+// records now as the time of the last such fault.
 func (s *scenario) expectDegradedByDaemons(duration time.Duration) {
 	s.expectDegraded(duration)
 	s.lastFaultAt = max(s.lastFaultAt, s.world.Now)
--- a/tool/sim/sim_worker.go
+++ b/tool/sim/sim_worker.go
@@ -9,7 +9,7 @@
 )
 
 // simWorker is a simulated worker with its records for the oracle. Without a node agent it
-// stands for a computer, on which one worker process follows another; with a node agent it
+// stands for a host, on which one worker process follows another; with a node agent it
 // stands for a single worker process.
 type simWorker struct {
 	config      fakeworker.Config
--- a/tool/sim/span.go
+++ b/tool/sim/span.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// span is an interval of simulated time. An open span, which has not ended yet, has zero
-// in to.
+// span is an interval of simulated time. In an open span, which has not ended yet,
+// to is zero.
 type span struct{ from, to time.Duration }
 
 // isOpen reports whether the span has not ended yet.
