--- a/tool/experiment/job.go
+++ b/tool/experiment/job.go
@@ -34,7 +34,7 @@
 	cancelled  bool
 	failures   int
 	tasks      map[string]*simulatedTask
-	// causes are the delays of the last task of each step, by cause.
+	// causes is not used: the delays are recorded in the causes of each task.
 	causes map[string]time.Duration
 
 	// running is the number of tasks running now. For a long-running job, windowStart, samples
--- a/tool/experiment/report.go
+++ b/tool/experiment/report.go
@@ -150,8 +150,9 @@
 	return result
 }
 
-// attributeLoss splits the lost worth of a job among the causes that delayed the last task of
-// each step, in proportion to their durations.
+// attributeLoss splits the lost worth of a job among the causes of its delays, in proportion
+// to their durations: those of the last task of each step, and causeNoPrimary for the time
+// until the job was accepted.
 func (j *simulatedJob) attributeLoss(report *Report, lost float64, unserved bool) {
 	total := time.Duration(0)
 	causes := map[string]time.Duration{causeNoPrimary: 0}
--- a/tool/experiment/simulation.go
+++ b/tool/experiment/simulation.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// trafficStart is when clients start to submit jobs and dayLength for how long they do.
-	// settleTime bounds the wait for unfinished jobs after that.
+	// Clients submit jobs from trafficStart on, for dayLength. settleTime bounds the wait for
+	// unfinished jobs after that.
 	trafficStart = 4 * time.Second
 	dayLength    = 34 * time.Second
 	settleTime   = 30 * time.Second
@@ -233,7 +233,7 @@
 	return nil, nil
 }
 
-// flap crashes and restarts the worker in turn until the given time.
+// flap alternately crashes and restarts the worker until the given time.
 func (w *worker) flap(until time.Duration) {
 	const half = 700 * time.Millisecond
 	if w.simulation.queue.Now >= until {
--- a/tool/experiment/worker.go
+++ b/tool/experiment/worker.go
@@ -179,7 +179,8 @@
 }
 
 // report makes the agent send a heartbeat if there is something new, if none is in flight, or if
-// the one in flight has timed out.
+// the one in flight has timed out. It sends none within minReportGap of the last one, or
+// during a backoff.
 func (w *worker) report() {
 	now := w.simulation.queue.Now
 	if now < w.backoffUntil || now < w.sentAt+minReportGap && w.heartbeatNumber > 0 {
--- a/tool/fakeworker/fakeworker.go
+++ b/tool/fakeworker/fakeworker.go
@@ -17,7 +17,7 @@
 	SlowFactor float64 `json:"slow,omitempty"`
 	// FailEvery makes every n-th run fail; 0 disables it.
 	FailEvery int `json:"failEach,omitempty"`
-	// FailClass makes all runs of one class fail, and no others.
+	// FailClass makes all runs of one class fail.
 	FailClass string `json:"failClass,omitempty"`
 	// Hang makes newly started runs hang: they end only when stopped, when the lease expires or
 	// at the run limit.
--- a/tool/load/load.go
+++ b/tool/load/load.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// submit submits the job, with retries until it is accepted, rejected for good or timed out. It
-// reports whether the job was accepted.
+// submit submits the job, with retries until it is accepted, rejected permanently or timed out.
+// It reports whether the job was accepted.
 func (j *job) submit() bool {
 	body, err := json.Marshal(j.traffic.NewJob(j.config.Deployment.Service, j.jobID))
 	if err != nil {
--- a/tool/scale/scale.go
+++ b/tool/scale/scale.go
@@ -1,6 +1,6 @@
 // Package scale measures the resource usage of the daemons in clusters larger than the available
-// machines: the core processes are real control processes, each with its own data directory; the
-// gateways, node agents and workers are hollow, many in one process, but use the real protocol.
+// machines: the core processes are real processes, each with its own data directory; the gateways,
+// node agents and workers are hollow, many in one process, but use the real protocol.
 package scale
 
 import (
