--- a/daemon/transport/receive_queue_test.go
+++ b/daemon/transport/receive_queue_test.go
@@ -248,8 +248,8 @@
 }
 
 // TestRequestsDoNotOvertakeOperatorCommands enqueues many reports and a change, and later a
-// query and an operator's command. The change must be dequeued after maxReportsInRow reports, but not
-// before these two.
+// query and an operator's command. The change must be dequeued after maxReportsInRow reports,
+// but not before the query and the operator's command.
 func TestRequestsDoNotOvertakeOperatorCommands(t *testing.T) {
 	q := NewReceiveQueue(func() time.Duration { return 0 }, NewCounters())
 	for i := range maxReportsInRow + 1 {
