--- a/core/agent/agent.go
+++ b/core/agent/agent.go
@@ -93,7 +93,7 @@
 
 	// worker is the current worker, nil if there is none.
 	worker *worker
-	// departing are earlier workers that the primary does not yet know to run nothing.
+	// departing are earlier workers that, as far as the primary knows, may still run attempts.
 	departing []*worker
 	departed  departedWorkers
 	// signedOff are workers that have signed off. They get no more starts, even if their
--- a/core/agent/worker.go
+++ b/core/agent/worker.go
@@ -77,8 +77,8 @@
 }
 
 // reportedCallNumber returns the number of the call that a report is based on. It is 0 for a
-// worker that was never confirmed and must have ended all its runs: that report is based on
-// the passing of time, whatever the worker's calls said.
+// worker that was never confirmed and whose runs must all have ended by now: that report
+// follows from the time that has passed, not from any call.
 func (w *worker) reportedCallNumber(noRuns bool) uint64 {
 	if noRuns && !w.confirmed {
 		return 0
@@ -86,8 +86,8 @@
 	return w.lastCall.Number
 }
 
-// withClockDrift returns when a duration that begins now has passed by the worker's clock as
-// well, allowing for clock drift.
+// withClockDrift returns the latest time, by the agent's clock, at which a duration that
+// begins now ends by the worker's clock.
 func withClockDrift(now, duration time.Duration) time.Duration {
 	return now + duration + duration*clockDriftPercent/100 + clockDriftMargin
 }
--- a/core/feed/subscription.go
+++ b/core/feed/subscription.go
@@ -44,7 +44,7 @@
 	return relay != "" && relay != r.address && now >= r.upstream.directUntil
 }
 
-// updateNodes derives the replicas and the zone relay from a node list. The relay is
+// updateNodes derives the replicas and the zone relay from the membership list. The relay is
 // the process of the zone with the highest rendezvous hash, so that all processes with
 // the same list choose the same relay, and it only changes when the relay itself leaves
 // or the joining process becomes the relay.
--- a/core/gateway/gateway.go
+++ b/core/gateway/gateway.go
@@ -101,9 +101,9 @@
 	return out
 }
 
-// handleMessage handles a reply to a heartbeat or a node list, and passes all messages other
-// than heartbeat replies to the read replica. It returns the command results that the read
-// replica received.
+// handleMessage handles a reply to a heartbeat or a membership list, and passes all messages
+// other than heartbeat replies to the read replica. It returns the command results that the
+// read replica received.
 func (g *Gateway) handleMessage(now time.Duration, message machine.Message, out *machine.Output) []feed.CommandResult {
 	switch message.Kind {
 	case wire.KindHeartbeatReply:
--- a/core/leaderclient/leader.go
+++ b/core/leaderclient/leader.go
@@ -31,7 +31,8 @@
 type leaderTracker struct {
 	// replicas are the replicas of the newest view that a reply named.
 	replicas wire.ReplicaList
-	// primary is the presumed leader, "" if there is none yet.
+	// primary is the replica presumed to lead, "" if there is none yet. It need not be the
+	// primary of a view.
 	primary string
 	// confirmed says that the primary has confirmed its leadership since the client
 	// switched to it. Commands are sent only to a confirmed primary.
@@ -114,10 +115,10 @@
 	}
 }
 
-// handleRejection handles a rejection by a primary that does not lead. It follows the redirect
-// at once, or backs off if there is no usable redirect or redirects form a loop. A redirect
-// from a replica whose view is older than the client's is ignored, as its primary no longer
-// leads.
+// handleRejection handles a rejection by the presumed leader, which does not lead. It follows
+// the redirect at once, or backs off if there is no usable redirect or redirects form a loop. A
+// redirect from a replica whose view is older than the client's is ignored, as its primary no
+// longer leads.
 func (c *Client) handleRejection(now time.Duration, from string, reply *wire.CommandReply) {
 	t, redirect := &c.leader, reply.Primary
 	if from != t.primary || t.switchAt > 0 {
@@ -161,9 +162,8 @@
 	c.probes.nextAt = max(c.probes.nextAt, now+maxBackoff)
 }
 
-// switchTo makes another replica the primary. It is probed first; the pending commands are
-// sent once it has confirmed its leadership. Messages sent to the previous primary count as
-// lost.
+// switchTo presumes that another replica leads. It is probed first; the pending commands are
+// sent once it has confirmed its leadership. Messages sent to the previous one count as lost.
 func (c *Client) switchTo(now time.Duration, replica string) {
 	t := &c.leader
 	t.primary, t.confirmed, t.switchAt = replica, false, 0
--- a/core/membership/gossiper.go
+++ b/core/membership/gossiper.go
@@ -46,8 +46,8 @@
 	RandomSeed uint64
 }
 
-// Gossiper keeps the partial view of one node; it is a machine.Machine. It sends the
-// list of known nodes to its own process, as a message to the empty address.
+// Gossiper keeps the partial view of one node; it is a machine.Machine. It sends the list of
+// known nodes (the membership list) to its own process, as a message to the empty address.
 type Gossiper struct {
 	self  wire.Node
 	seeds []string
@@ -55,7 +55,7 @@
 	view  partialView
 
 	nextShuffle time.Duration
-	// withoutReplica is set if the node list that was last published names no replica.
+	// withoutReplica is set if the membership list that was last published names no replica.
 	withoutReplica bool
 }
 
@@ -118,7 +118,7 @@
 	return true
 }
 
-// shuffle begins an exchange with a random neighbour and publishes the node list.
+// shuffle begins an exchange with a random neighbour and publishes the membership list.
 func (g *Gossiper) shuffle(now time.Duration, out *machine.Output) {
 	g.self.Version++
 	g.view.expire(now, out)
@@ -147,7 +147,7 @@
 	}
 }
 
-// publishNodes sends the list of known nodes to this node's own process.
+// publishNodes sends the membership list to this node's own process.
 func (g *Gossiper) publishNodes(out *machine.Output) {
 	out.Send("", wire.KindNodeList, wire.Gossip{Nodes: g.Nodes()})
 }
--- a/core/replica/away_test.go
+++ b/core/replica/away_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestMemberAwayForManyChanges lets a backup miss changes, also more than the log's tail
-// contains. It returns or is replaced, and losses of others then make it the primary: it must
-// not have missed any answered write.
+// TestMemberAwayForManyChanges lets a backup miss changes, in some cases more than the log's
+// tail contains. It returns or is replaced, and losses of others then make it the primary: it
+// must not have missed any answered write.
 func TestMemberAwayForManyChanges(t *testing.T) {
 	for _, losses := range []int{1, 2} {
 		for _, count := range []int{200, 1000} {
--- a/core/replica/checkpoint.go
+++ b/core/replica/checkpoint.go
@@ -14,7 +14,8 @@
 )
 
 // checkpoints are snapshots of the state at earlier positions, the newest last. To undo
-// commands that were never committed, the commands before them are replayed on a checkpoint.
+// commands that were never committed, the commands between a checkpoint and them are replayed
+// on that checkpoint.
 type checkpoints []*state.Snapshot
 
 // add takes a checkpoint if checkpointInterval commands were applied since the last one.
--- a/core/replica/commands.go
+++ b/core/replica/commands.go
@@ -180,7 +180,7 @@
 		"code", reply.Result.Code.String(), "version", reply.Result.ConfigVersion, "index", reply.AppliedIndex)
 }
 
-// localOnly reports whether a command may be submitted only by the dispatcher in the
+// localOnly reports whether a command may be submitted only by the scheduler in the
 // primary's own process.
 func localOnly(cmd state.Command) bool {
 	switch cmd.Kind {
@@ -218,9 +218,9 @@
 	return r.log.append(cmd)
 }
 
-// sendReceived tells the sender of a request to confirm the leadership at once that the
-// request has arrived. The confirmation itself waits for the disks. The status code is that
-// of an unconfirmed leadership, for senders that do not know the field Received.
+// sendReceived acknowledges at once that a request to confirm the leadership has arrived. The
+// confirmation itself waits for the disks. The status code is that of an unconfirmed
+// leadership, for senders that do not know the field Received.
 func (r *Replica) sendReceived(to string, id uint64, out *machine.Output) {
 	if to == "" {
 		return
--- a/core/replica/commands_test.go
+++ b/core/replica/commands_test.go
@@ -11,7 +11,7 @@
 )
 
 // isolatedLeader is a primary whose disk and backups do not reply. Tests send it commands as a
-// client and look at its immediate replies.
+// client and check its immediate replies.
 type isolatedLeader struct {
 	*testing.T
 	leader *Replica
--- a/core/replica/config.go
+++ b/core/replica/config.go
@@ -19,7 +19,7 @@
 	// BackupCount is the number of backups in a view, at least 1. It is also the number of
 	// disks that may be lost at the same time.
 	BackupCount int
-	// HasDispatcher is set if a dispatcher in the same process consumes the state's changes.
+	// HasDispatcher is set if a scheduler in the same process consumes the state's changes.
 	HasDispatcher bool
 	// Phases measures the time spent in each phase of a step; nil disables it.
 	Phases *machine.PhaseMeter
--- a/core/replica/view.go
+++ b/core/replica/view.go
@@ -11,7 +11,7 @@
 type leadership struct {
 	serving bool
 	// resuming is set while this process remains primary across a view change and waits for
-	// the new backups to be up to date. It then serves on.
+	// the new backups to be up to date. It then continues to serve.
 	resuming bool
 	// terms counts the times that this process began to serve without resuming.
 	terms uint64
