--- a/core/dispatch/breaker.go
+++ b/core/dispatch/breaker.go
@@ -13,8 +13,8 @@
 // it fails or has no result, the next trial comes after the same time again.
 //
 // Tasks that run until their job is cancelled have unlimited attempts, so they need no trial.
-// Once no new work has arrived for the service for maxStreamingHold, a job of which nothing
-// runs does not wait for another job's trial.
+// Once no new work has arrived for the service for maxStreamingHold, a job of which no task has
+// run for maxIdleHold does not wait for another job's trial.
 
 // breakerState is the state of a worker's circuit breaker.
 type breakerState int
@@ -28,8 +28,8 @@
 	breakerHalfOpen
 )
 
-// tripped reports whether the most recently granted of the ended runs of an unhealthy worker
-// have failed. A success of a run granted earlier says nothing about runs that start now.
+// tripped reports whether a worker is unhealthy and, of its runs that have ended, those granted
+// last have failed. A success of a run granted earlier says nothing about runs that start now.
 func (h workerHealth) tripped() bool {
 	return h.unhealthy() && h.lastFailedGrantAt > h.lastSucceededGrantAt
 }
@@ -72,7 +72,7 @@
 }
 
 // bypassesTrial reports whether the tasks of a job may go to a worker although a trial is under
-// way there: no more work arrives, and nothing of the job has run for long.
+// way there: no more work arrives, and no task of the job has run for maxIdleHold.
 func (d *Dispatcher) bypassesTrial(store *state.Store, job *state.Job) bool {
 	return !d.hasArrivals(store, job.Spec.Service, maxStreamingHold) && idleFor(store, job) >= maxIdleHold
 }
--- a/core/dispatch/breaker_test.go
+++ b/core/dispatch/breaker_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestJobDoesNotWaitForTrialOfAnotherJob checks the bound of a trial: once no more work
-// arrives, each job has something running, although the worker keeps failing and a trial takes
+// arrives, each job has a running task, although the worker keeps failing and a trial takes
 // long.
 func TestJobDoesNotWaitForTrialOfAnotherJob(t *testing.T) {
 	sim := newSimulation(t, 6, onlyB)
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	trust     trustTracker
 	runTimes  runTimes
 
-	// running holds the attempts whose leases are in force, as they were when they started.
+	// running holds the attempts whose leases are in force.
 	running map[TaskRef]runningAttempt
 	// completed counts the tasks that each worker has completed.
 	completed map[string]int
@@ -68,8 +68,8 @@
 	// triedEligibility holds each worker's eligibility at the time when the unplaced tasks were
 	// last tried on it.
 	triedEligibility map[string]eligibility
-	// redistributing holds the workers whose queued tasks, or whose share of the unplaced
-	// tasks, are left for the next Update.
+	// redistributing holds the workers for which the next Update continues to move queued
+	// tasks to other queues, or to place unplaced tasks.
 	redistributing map[string]bool
 	rebuild        rebuildProgress
 
--- a/core/dispatch/eligibility.go
+++ b/core/dispatch/eligibility.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// updateWorker moves up to limit tasks that a worker can no longer run out of its queue, and
-// tries the unplaced tasks on the worker. It returns what remains of the limit; remaining tasks
-// are left for the next Update.
+// updateWorker moves the queued tasks that a worker can no longer run to other queues, at most
+// limit of them, and tries the unplaced tasks on the worker. It returns what remains of the
+// limit; remaining tasks are left for the next Update.
 func (d *Dispatcher) updateWorker(store *state.Store, id string, limit int) int {
 	left := d.requeueUnfit(store, id, limit)
 	d.placeUnplaced(store, id)
@@ -102,9 +102,9 @@
 	return store.Fits(job, i, worker) == status.OK && worker.Capacity.Covers(job.Spec.Tasks[i].Resources)
 }
 
-// retrySilentWorkers makes the unplaced tasks be tried again on each worker that is silent now,
-// once it sends heartbeats again. No change of the state reports that a worker has become
-// silent.
+// retrySilentWorkers forgets on which silent workers the unplaced tasks were tried, so that
+// they are tried again once such a worker sends heartbeats again. No change of the state
+// reports that a worker has become silent.
 func (d *Dispatcher) retrySilentWorkers(store *state.Store) {
 	for _, entry := range store.WorkerEntries() {
 		worker := entry.Record()
--- a/core/dispatch/gang_search.go
+++ b/core/dispatch/gang_search.go
@@ -165,9 +165,9 @@
 	return need, s.uniform && task.MaxPerWorker == 0 && !s.mayFit(&s.all)
 }
 
-// place chooses a worker for every member of the gang, in one rack if that is named. It prefers
-// workers that are not deprioritized, then those near the gang's data, then the pulling worker,
-// then the one with the most free slots.
+// place chooses a worker for every member of the gang, in the given rack unless its name is
+// empty. It prefers workers that are not deprioritized, then those near the gang's data, then
+// the pulling worker, then the one with the most free slots.
 func (s *gangSearch) place(rack string) bool {
 	s.chosen = s.chosen[:0]
 	if s.uniform {
@@ -191,7 +191,7 @@
 	return true
 }
 
-// freeOf returns what is free on a worker without what is proposed for it.
+// freeOf returns what is free on a worker, minus what is proposed for it.
 func (s *gangSearch) freeOf(worker *state.Worker) state.Resources {
 	return s.store.FreeResources(worker.ID()).Sub(s.proposed[worker.ID()])
 }
--- a/core/dispatch/health.go
+++ b/core/dispatch/health.go
@@ -148,7 +148,8 @@
 	return task.Failures > a.failures && slices.Contains(task.FailedOn, a.worker) || task.Losses > a.losses
 }
 
-// update stores the health of a worker, and records a change of whether it is impaired.
+// update stores the health of a worker, and records whether it has become impaired or has
+// recovered.
 func (t *healthTracker) update(id string, before, health workerHealth) {
 	if health.impaired() != before.impaired() {
 		if health.impaired() {
--- a/core/dispatch/health_running.go
+++ b/core/dispatch/health_running.go
@@ -6,8 +6,8 @@
 	"sorrelloom/core/state"
 )
 
-// The ended runs of a worker that becomes slow show it only once they have taken long, and
-// until then the worker would be given more tasks. Runs that are overdue show it earlier.
+// Ended runs show that a worker has become slow only after they have taken long, and until then
+// the worker would be given more tasks. Overdue runs show it earlier.
 
 const (
 	// overdueInterval is the time between two checks of the running attempts.
--- a/core/dispatch/hold_test.go
+++ b/core/dispatch/hold_test.go
@@ -12,7 +12,7 @@
 const (
 	// stalledAfter is the time after which work that could run counts as stalled.
 	stalledAfter = 3 * time.Second
-	// gangBound is the maximum time that a gang waits which the present workers could run.
+	// gangBound is the maximum time that a gang may wait if the present workers could run it.
 	gangBound = 20 * time.Second
 )
 
--- a/core/dispatch/locality.go
+++ b/core/dispatch/locality.go
@@ -64,8 +64,8 @@
 	return localityScores{outputs, len(dependencies)}
 }
 
-// countOutputs counts the complete ones of a job's tasks by the worker that holds the output,
-// and reports whether all are complete.
+// countOutputs counts those of the given tasks of a job that are complete, by the worker that
+// holds the output, and reports whether all are complete.
 func countOutputs(job *state.Job, tasks []int) (outputs map[string]int, complete bool) {
 	outputs, complete = map[string]int{}, true
 	for _, i := range tasks {
--- a/core/dispatch/naive_scan_test.go
+++ b/core/dispatch/naive_scan_test.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestQueueChoiceMatchesNaiveScan compares the queue chosen for each task of a step in
-// succession with that of a comparison of all workers.
+// TestQueueChoiceMatchesNaiveScan chooses queues for the tasks of a step one after the other,
+// and compares each choice with that of a scan of all workers.
 func TestQueueChoiceMatchesNaiveScan(t *testing.T) {
 	chosen := 0
 	for seed := range uint64(4) {
--- a/core/dispatch/near_data.go
+++ b/core/dispatch/near_data.go
@@ -6,8 +6,8 @@
 	"sorrelloom/core/state"
 )
 
-// A task that prefers a rack is queued there as long as a worker fits there that is not
-// deprioritized, however busy the rack is; within the rack, the first worker with enough free
+// A task that prefers a rack is queued there, however busy the rack is, as long as it fits a
+// worker there that is not deprioritized; within the rack, the first worker with enough free
 // resources takes the task. A worker elsewhere may steal the task only once it has waited for
 // as long as its run is expected to take longer elsewhere. However the rack's load develops,
 // waiting thus costs at most twice what the better of the two choices would have cost.
--- a/core/dispatch/overlap.go
+++ b/core/dispatch/overlap.go
@@ -9,10 +9,10 @@
 // Two gangs can hold back a tenant's younger work in a service: one of the tenant that waits
 // for the tenant's limit, and one that waits for workers. Each has a window that bounds its own
 // hold, but their pauses need not overlap. While both wait, the work that they hold back
-// therefore has a window of its own, which stays open until neither gang holds it back, and in
-// whose pauses neither does.
+// therefore has a window of its own, and neither gang holds it back in the pauses of that
+// window. The window is dropped once neither gang has held the work back for minSharedPause.
 
-// minSharedPause is how long neither gang must hold work back for that to count as a pause.
+// minSharedPause is the minimum time without a hold by either gang that counts as a pause.
 const minSharedPause = holdPause / 2
 
 // heldWork identifies the work of a tenant in a service.
@@ -26,8 +26,8 @@
 	unheldSince time.Duration
 }
 
-// releases reports whether neither gang may hold the work back now. held reports whether one of
-// them otherwise would.
+// releases reports whether neither gang may hold the work back now. held is set if one of them
+// otherwise would.
 func (w *overlapWindow) releases(now time.Duration, held bool, conditions holdConditions) bool {
 	switch {
 	case held:
@@ -50,9 +50,9 @@
 	return holdConditions{idle: c.idle && other.idle, streaming: c.streaming || other.streaming}
 }
 
-// updateOverlaps decides which work two gangs release that alternately hold it back. A window
-// lasts until its work has been unheld for a while, even if one of the gangs briefly does not
-// wait.
+// updateOverlaps decides which of the work that two gangs alternately hold back must be released
+// by both. A window lasts until its work has been unheld for minSharedPause, even if one of the
+// gangs briefly does not wait.
 func (d *Dispatcher) updateOverlaps(store *state.Store) {
 	d.openOverlapWindows()
 	clear(d.reservations.released)
--- a/core/dispatch/pull.go
+++ b/core/dispatch/pull.go
@@ -2,9 +2,9 @@
 
 import "sorrelloom/core/state"
 
-// PullRound is one round of pulls by the workers that have free resources: from their own
-// queues alone or, with Steal, from others' too; with QuickOnly of quick classes only. The
-// tasks of a quick class go before all others (config.Class).
+// PullRound is one round of pulls by the workers that have free resources. The workers pull from
+// their own queues alone or, with Steal, also from those of others; with QuickOnly they pull
+// only tasks of quick classes, which go before all others (config.Class).
 type PullRound struct {
 	Steal     bool
 	QuickOnly bool
--- a/core/dispatch/queues.go
+++ b/core/dispatch/queues.go
@@ -52,8 +52,8 @@
 type queuedTask struct {
 	ref    TaskRef
 	number uint64
-	// anyRack is set if the task need not wait for the rack of its data, since no worker there
-	// fits it that is not deprioritized.
+	// anyRack is set if the task need not wait for the rack of its data, since each worker
+	// there is deprioritized or does not fit the task.
 	anyRack bool
 }
 
--- a/core/dispatch/reservation.go
+++ b/core/dispatch/reservation.go
@@ -11,9 +11,9 @@
 
 // A gang needs resources for all its members at the same time, which steady smaller work would
 // never leave free. A gang that has waited for long therefore reserves what its members need on
-// the workers that it expects to wait for the shortest. Until the gang has started, younger
-// tasks that are not quick get only what remains there, and the other workers. Tasks of other
-// classes are held back only while the gang could start within its class's share. In each
+// the workers that are expected to become free first. Until the gang has started, younger tasks
+// that are not quick get only what remains on these workers, and the other workers. Tasks of
+// other classes are held back only while the gang could start within its class's share. In each
 // service one gang at a time has a reservation: the oldest one that the present workers could
 // run beside long-running tasks. A gang that can't start holds nothing back. How long a
 // reservation holds back work is bounded (holdWindow).
--- a/core/dispatch/reservation_search.go
+++ b/core/dispatch/reservation_search.go
@@ -29,7 +29,7 @@
 
 // find returns what a gang would use of each worker, if the present workers could run all its
 // members. It prefers workers that are not deprioritized, then those with the most free
-// resources now, for which the gang waits the shortest.
+// resources now, since the gang is expected to wait the least for these.
 func (r *reservationSearch) find(
 	store *state.Store, job *state.Job, i int,
 ) (taken map[string]state.Resources, fits bool) {
--- a/core/dispatch/tenant_limit.go
+++ b/core/dispatch/tenant_limit.go
@@ -35,8 +35,8 @@
 	conditions holdConditions
 }
 
-// tenantAllows reports whether a tenant may use that much more, in addition to what is used and
-// in flight. It records a tenant that may not (TakeTenantsAtLimit).
+// tenantAllows reports whether a tenant may use the needed resources in addition to those that
+// are used and in flight. It records a tenant that may not (TakeTenantsAtLimit).
 func (d *Dispatcher) tenantAllows(
 	store *state.Store, inFlight *InFlight, tenant string, needed state.Resources,
 ) bool {
--- a/core/dispatch/throttled_test.go
+++ b/core/dispatch/throttled_test.go
@@ -14,7 +14,7 @@
 	return step
 }
 
-// longestIdle simulates the given time and returns the longest time for which nothing of a job
+// longestIdle simulates the given time and returns the longest time for which no task of a job
 // ran.
 func (sim *simulation) longestIdle(d time.Duration, id string) (longest time.Duration) {
 	idleSince := sim.Now
--- a/core/dispatch/victims.go
+++ b/core/dispatch/victims.go
@@ -49,7 +49,7 @@
 }
 
 // stoppable returns the sum of the resources of the leases on a worker that may be preempted,
-// and a time before which or at which all of them were granted.
+// and an upper bound of the times at which these were granted.
 func (r victimRule) stoppable(worker *state.WorkerEntry) (sum state.Resources, lastGrantAt time.Duration) {
 	for _, leases := range worker.PreemptibleLeases() {
 		switch {
@@ -84,8 +84,8 @@
 }
 
 // preemptionVictims chooses the leases to preempt for a task, all on the worker where the least
-// work is lost: borrowed ones of other classes or, for a quick task without such, any that are
-// not quick, since quick work never waits for other work to end.
+// work is lost: borrowed ones of other classes or, if there are none and the task is quick, any
+// of classes that are not quick, since quick work never waits for other work to end.
 func (d *Dispatcher) preemptionVictims(
 	store *state.Store, job *state.Job, task queuedTask, zone string,
 ) []state.Assignment {
@@ -149,8 +149,8 @@
 	s.saveChosen(worker.ID())
 }
 
-// minCost returns a lower bound of the cost of stopping leases that together have so many
-// slots, of which the last was granted at lastGrantAt or earlier.
+// minCost returns a lower bound of the cost of stopping leases that together have the given
+// number of slots and were all granted at lastGrantAt or earlier.
 func (s *victimSearch) minCost(slots int, lastGrantAt time.Duration) float64 {
 	lost := min(s.store.Now()-lastGrantAt, checkpointedLoss, longRunningLoss)
 	return lost.Seconds() * float64(max(0, slots)) * roundingTolerance
--- a/core/state/command.go
+++ b/core/state/command.go
@@ -22,11 +22,11 @@
 	KindSchedulerHeartbeat CommandKind = "hello"
 	KindTransferLeadership CommandKind = "move"
 	KindTick               CommandKind = "tick"
-	// KindTakeLeadership lets the primary's own dispatcher take a leadership. Only the
-	// dispatcher may send it.
+	// KindTakeLeadership lets the primary's own scheduler take a leadership. Only that
+	// scheduler may send it.
 	KindTakeLeadership CommandKind = "take"
-	// KindRenewWorkers lets the primary's own dispatcher renew the leases of all workers
-	// that recently sent it a heartbeat. Only the dispatcher may send it.
+	// KindRenewWorkers lets the primary's own scheduler renew the leases of all workers
+	// that recently sent it a heartbeat. Only that scheduler may send it.
 	KindRenewWorkers CommandKind = "renew"
 
 	// The following kinds are read-only: they read a job, the number of waiting jobs of a
--- a/core/state/demand.go
+++ b/core/state/demand.go
@@ -43,9 +43,10 @@
 	return wanted
 }
 
-// unmetDemand counts the tasks for which a class must not borrow resources: waiting tasks of
-// the service's other classes that are within their class's share and their tenant's limit,
-// and that fit some live worker. A gang that needs more slots than the service has is left out.
+// unmetDemand counts the tasks because of which a class must not borrow resources: waiting
+// tasks of the service's other classes that are within their class's share and their tenant's
+// limit, and that fit some live worker. A gang that needs more slots than the service has is
+// left out.
 func (s *Store) unmetDemand(service, class string) int {
 	unmet, load := 0, s.ServiceLoad(service)
 	for wanted, count := range s.waiting {
--- a/core/state/explain.go
+++ b/core/state/explain.go
@@ -51,7 +51,7 @@
 	return ""
 }
 
-// explainSilence describes what a task waits for whose worker sends no heartbeats.
+// explainSilence describes what a task is waiting for if its worker sends no heartbeats.
 func (s *Store) explainSilence(job *Job, i int) string {
 	lease := job.Tasks[i].Lease
 	silence := (s.now - s.workerRecord(lease.Worker).LastSeenAt).Round(100 * time.Millisecond)
--- a/core/state/job_lifecycle.go
+++ b/core/state/job_lifecycle.go
@@ -12,8 +12,8 @@
 	endReasonDeadline  = "the job's cutoff passed"
 )
 
-// makeTasksReady makes every waiting task of a job ready whose due time has passed and whose
-// dependencies are all done, and updates the state of the job.
+// makeTasksReady makes those waiting tasks of a job ready that are due and whose dependencies
+// are all done, and updates the state of the job.
 func (s *Store) makeTasksReady(id string) {
 	job := s.jobs[id]
 	if job.EndingState == "" {
--- a/core/state/leadership.go
+++ b/core/state/leadership.go
@@ -138,7 +138,7 @@
 	return Result{Code: status.OK}
 }
 
-// takeLeadership makes the primary's own dispatcher the leader. No vote is needed: the
+// takeLeadership makes the primary's own scheduler the leader. No vote is needed: the
 // epoch of the replicated log already fences off earlier primaries.
 func (s *Store) takeLeadership(name string, hb SchedulerHeartbeat) Result {
 	s.schedulers[hb.Scheduler] = Scheduler{ID: hb.Scheduler, Zone: hb.Zone, LastSeenAt: s.now}
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -27,9 +27,9 @@
 	returnReasonStopped        = "stopped"
 )
 
-// startOrderLifetime is how long after sending a heartbeat a worker accepts start orders
-// from the reply, according to the worker protocol. It differs from Limits.StartTimeout,
-// after which a gang that has not started is stopped.
+// startOrderLifetime is how long after sending a heartbeat a worker accepts start orders from
+// the reply, according to the worker protocol. It differs from Limits.GangStartTimeout, after
+// which a gang that has not started is stopped.
 const startOrderLifetime = 2 * time.Second
 
 // Lease authorizes and obliges one worker to run one attempt of a task.
--- a/core/state/past_job.go
+++ b/core/state/past_job.go
@@ -17,8 +17,8 @@
 	EndedAt time.Duration `json:"endedAt"`
 }
 
-// PastJob returns what is kept of a job whose record has been dropped, and whether anything
-// is.
+// PastJob returns what is kept of a job whose record has been dropped, and false if nothing is
+// kept.
 func (s *Store) PastJob(id string) (*Job, bool) {
 	past, ok := s.pastJobs.byKey[id]
 	spec := JobSpec{ID: id, Service: past.Service, Class: past.Class}
--- a/core/state/service_load.go
+++ b/core/state/service_load.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// updateServiceLoad updates the cached load after a lease of so many slots was granted on a
-// worker, or returned if slots is negative.
+// updateServiceLoad updates the cached load after a lease of the given number of slots was
+// granted on a worker, or returned if slots is negative.
 func (s *Store) updateServiceLoad(worker, class string, slots int) {
 	record := s.workerRecord(worker)
 	load, known := s.serviceLoads[record.Service]
--- a/core/state/share.go
+++ b/core/state/share.go
@@ -16,9 +16,9 @@
 	return load.Used[class], s.shareSlots(service, class, load.Slots)
 }
 
-// CheckShare reports whether a class may lease so many more slots, either within its share
-// or by the borrowing policy, and whether they would be borrowed. The slots in pending were
-// requested for a class and are not leased yet.
+// CheckShare reports whether a class may lease the requested slots in addition, either within
+// its share or by the borrowing policy, and whether they would be borrowed. The slots in
+// pending were requested for a class and are not leased yet.
 func (s *Store) CheckShare(
 	key ClassKey, requestedSlots int, pending map[ClassKey]int,
 ) (allowed, borrowed bool) {
--- a/core/state/stalled.go
+++ b/core/state/stalled.go
@@ -18,7 +18,7 @@
 	stalledCapacityFactor = 2
 )
 
-// StalledTask is a ready task that no dispatcher has leased although no rule prevents it.
+// StalledTask is a ready task that has no lease although no rule prevents one.
 type StalledTask struct {
 	Job     string
 	Index   int
--- a/core/state/steps.go
+++ b/core/state/steps.go
@@ -155,9 +155,9 @@
 	return j.Tasks[a].Level == j.Tasks[b].Level
 }
 
-// AtWorkerLimit reports whether a worker has as many leases for tasks of a task's step as its
-// MaxPerWorker allows. pending is the number of such tasks that are about to be leased to the
-// worker as well.
+// AtWorkerLimit reports whether a worker has as many leases for other tasks of a task's step as
+// the task's MaxPerWorker allows. pending is the number of further tasks of the step that are
+// about to be leased to the worker.
 func (s *Store) AtWorkerLimit(job *Job, i int, worker string, pending int) bool {
 	limit := job.Spec.Tasks[i].MaxPerWorker
 	if limit <= 0 {
