--- a/core/control/control.go
+++ b/core/control/control.go
@@ -55,7 +55,7 @@
 func New(config Config, stored machine.StoredState) (*Control, error) {
 	ownReplica, err := replica.New(replica.Config{
 		Address: config.Address, Zone: config.Zone, Founders: config.Founders, NewID: config.NewID, BootID: config.BootID,
-		BackupCount: config.BackupCount, HasDispatcher: true, Phases: config.Phases,
+		BackupCount: config.BackupCount, HasScheduler: true, Phases: config.Phases,
 	}, stored)
 	if err != nil {
 		return nil, err
--- a/core/dispatch/steal.go
+++ b/core/dispatch/steal.go
@@ -28,9 +28,10 @@
 	}
 }
 
-// bestToSteal looks for the best task of a straggler: of the one with the fewest helpers or,
-// among equals, the slowest progress. If the worker's own queue has a task, given in own, a task
-// of another queue is stolen only if its tier is higher.
+// bestToSteal looks for the best task in the queues of other workers: one of the highest tier,
+// from the straggler with the fewest helpers or, among equals, the slowest progress. If the
+// worker's own queue has a task, given in own, a task of another queue is stolen only if its
+// tier is higher. An unhealthy worker first of all gets the task that has failed least often.
 func (d *Dispatcher) bestToSteal(pull *pullRequest, own bestCandidate) bestCandidate {
 	best := own
 	byPriority := pull.store.Policies().OrdersByPriority()
--- a/core/replica/config.go
+++ b/core/replica/config.go
@@ -19,8 +19,8 @@
 	// BackupCount is the number of backups in a view, at least 1. It is also the number of
 	// disks that may be lost at the same time.
 	BackupCount int
-	// HasDispatcher is set if a scheduler in the same process consumes the state's changes.
-	HasDispatcher bool
+	// HasScheduler is set if a scheduler in the same process consumes the state's changes.
+	HasScheduler bool
 	// Phases measures the time spent in each phase of a step; nil disables it.
 	Phases *machine.PhaseMeter
 }
--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -261,7 +261,7 @@
 	if r.disk.busy() {
 		return
 	}
-	if !r.config.HasDispatcher {
+	if !r.config.HasScheduler {
 		r.log.store.TakeChanges()
 	}
 	r.audit.add(r.log.store.TakeAuditEntries(), r.leadership.serving)
