--- a/core/dispatch/best_in_queue.go
+++ b/core/dispatch/best_in_queue.go
@@ -61,7 +61,7 @@
 		isGang := group.key.isGang()
 		if gangsOnly && !isGang || pull.round.QuickOnly && !group.key.quick ||
 			isGang && d.groupBackoffUntil(pull, group) > 0 ||
-			pull.throttled && !group.key.longRunning && !d.underHalfUsed(pull.store, group.key.service) {
+			pull.throttled && !group.key.longRunning && !d.atMostHalfUsed(pull.store, group.key.service) {
 			continue
 		}
 		if admitted, ownerCouldRun := d.admit(pull, group, &owner); admitted {
@@ -157,8 +157,8 @@
 	}
 }
 
-// mayTake reports whether the pulling worker may take a task despite the worker's health and
-// despite a gang that holds the task back.
+// mayTake reports whether the pulling worker may take a task, given the worker's health and
+// whether a gang holds the task back (held).
 func (d *Dispatcher) mayTake(pull *pullRequest, key *groupKey, job *state.Job, task queuedTask, held bool) bool {
 	if (held || pull.throttled) && !d.holdsExpired(pull.store, job, task.ref.Index) {
 		return false
--- a/core/dispatch/dispatcher.go
+++ b/core/dispatch/dispatcher.go
@@ -79,7 +79,7 @@
 	serviceWindows, tenantWindows   map[string]*holdWindow
 	overlapWindows                  map[heldWork]*overlapWindow
 	serviceArrivals, tenantArrivals arrivals
-	// usages caches whether services are under half used.
+	// usages caches whether services are at most half used.
 	usages map[string]serviceUsage
 	// tenantsAtLimit holds the tenants whose tasks were held back by their limits since the
 	// last call of TakeTenantsAtLimit.
--- a/core/dispatch/placement.go
+++ b/core/dispatch/placement.go
@@ -26,7 +26,7 @@
 
 // Ranks of a worker as candidate for a task's queue. rankNearData is that of a worker near the
 // task's data, and rankAwayFromData that of any other one, unless the worker is deprioritized
-// for its health.
+// for its health and may not be probed.
 const (
 	rankDeprioritized = iota
 	rankAwayFromData
@@ -61,11 +61,12 @@
 }
 
 // chooseQueue adds a runnable task to the queue of a worker that fits. Deprioritized workers
-// are chosen only if there are no others, and workers away from the task's data only if none
-// near it fits. Among the workers whose load is within loadTolerance of the least loaded one,
-// it chooses the one that is near the data, then the one that holds most of the task's inputs,
-// then the one with most tasks of the same step, whose outputs are likely to be needed
-// together, then the least loaded, then the one with the smallest name.
+// that may not be probed (mayProbe) are chosen only if there are no others, and workers away
+// from the task's data only if none near it fits. Among the workers whose load is within
+// loadTolerance of the least loaded one, it chooses the one that is near the data, then the one
+// that holds most of the task's inputs, then the one with most tasks of the same step, whose
+// outputs are likely to be needed together, then the least loaded, then the one with the
+// smallest name.
 func (d *Dispatcher) chooseQueue(store *state.Store, job *state.Job, ref TaskRef) {
 	if d.options.SingleQueue {
 		d.enqueue(store, job, ref, "", true)
--- a/core/dispatch/reservation.go
+++ b/core/dispatch/reservation.go
@@ -100,7 +100,7 @@
 	dropWindows(d.serviceWindows, d.reservations.byService)
 	for service, found := range d.reservations.byService {
 		found.conditions = holdConditions{
-			idle:      d.underHalfUsed(store, service),
+			idle:      d.atMostHalfUsed(store, service),
 			streaming: d.serviceArrivals.areStreaming(store.Now(), service),
 		}
 		found.holds = windowOf(d.serviceWindows, service).holds(store.Now(), found.conditions)
--- a/core/state/lease.go
+++ b/core/state/lease.go
@@ -34,12 +34,13 @@
 
 // Lease authorizes and obliges one worker to run one attempt of a task.
 //
-// A task has at most one lease. The lease is returned only when the worker reports that
-// it does not run the attempt, or when the attempt must have ended: its run limit, the
-// latest expiry of the worker's own lease that the worker can know of, and a margin have
-// passed. Even then a task that may have succeeded keeps its lease until the worker or an
-// operator reports, unless the lost-worker policy of the task or its class is to restart
-// it (heldForLostWorker). A success counts whichever attempt it comes from.
+// A task has at most one lease. The lease is returned only when the worker reports that it does
+// not run the attempt, or when the attempt must have ended (latestEnd): the latest expiry of
+// the worker's own lease that the worker can know of, a margin and, unless attempts are killed
+// at that expiry, its run limit have passed. Even then a task that may have succeeded keeps its
+// lease until the worker or an operator reports, unless the lost-worker policy of the task or
+// its class is to restart it (heldForLostWorker). A success counts whichever attempt it comes
+// from.
 type Lease struct {
 	AttemptNumber int    `json:"try"`
 	Worker        string `json:"worker"`
--- a/core/state/stalled.go
+++ b/core/state/stalled.go
@@ -34,7 +34,7 @@
 //
 // A correct dispatcher leaves no stalled task. The list serves to find tasks that it lost.
 func (s *Store) StalledTasks(limit int) []StalledTask {
-	underHalfUsed := map[string]bool{}
+	atMostHalfUsed := map[string]bool{}
 	var stalled []StalledTask
 	for id := range s.activeJobs {
 		job := s.jobs[id]
@@ -42,10 +42,10 @@
 			continue
 		}
 		service := job.Spec.Service
-		if _, known := underHalfUsed[service]; !known {
-			underHalfUsed[service] = s.AtMostHalfUsed(service)
+		if _, known := atMostHalfUsed[service]; !known {
+			atMostHalfUsed[service] = s.AtMostHalfUsed(service)
 		}
-		if underHalfUsed[service] {
+		if atMostHalfUsed[service] {
 			stalled = s.appendStalled(stalled, job)
 		}
 	}
