--- a/core/agent/probe.go
+++ b/core/agent/probe.go
@@ -47,7 +47,7 @@
 	a.lastReportID++
 	a.probe = replicaProbe{id: a.lastReportID, sentAt: now, target: a.replicas.target, open: true}
 	out.Send(a.replicas.target, wire.KindCommand, wire.CommandRequest{
-		ID: a.probe.id, Question: true, Command: state.Command{Kind: state.KindConfirmLeadership},
+		ID: a.probe.id, Query: true, Command: state.Command{Kind: state.KindConfirmLeadership},
 	})
 }
 
--- a/core/leaderclient/commands.go
+++ b/core/leaderclient/commands.go
@@ -219,12 +219,12 @@
 // send sends a command to the leader, with its deadline in state time if that is known.
 func (c *Client) send(now time.Duration, command *pendingCommand, out *machine.Output) {
 	request := wire.CommandRequest{
-		ID:       command.id,
-		Timeout:  command.deadline - now,
-		Retry:    command.sendCount > 0,
-		Urgent:   command.priority() == priorityUrgent,
-		Question: command.priority() == priorityRead,
-		Command:  command.command,
+		ID:      command.id,
+		Timeout: command.deadline - now,
+		Retry:   command.sendCount > 0,
+		Urgent:  command.priority() == priorityUrgent,
+		Query:   command.priority() == priorityRead,
+		Command: command.command,
 	}
 	if stateTime, known := c.probes.stateTime(now); known {
 		request.Deadline = stateTime + request.Timeout
--- a/core/leaderclient/probes.go
+++ b/core/leaderclient/probes.go
@@ -80,6 +80,6 @@
 	p.unanswered = p.unanswered[max(0, len(p.unanswered)-maxUnansweredProbes):]
 	p.lastAt, p.nextAt = now, now+c.jitter(minProbeInterval, maxProbeInterval)
 	out.Send(c.leader.primary, wire.KindCommand, wire.CommandRequest{
-		ID: c.lastCommandID, Question: true, Command: state.Command{Kind: state.KindConfirmLeadership},
+		ID: c.lastCommandID, Query: true, Command: state.Command{Kind: state.KindConfirmLeadership},
 	})
 }
--- a/core/leaderclient/urgent_test.go
+++ b/core/leaderclient/urgent_test.go
@@ -17,15 +17,15 @@
 	h := newHarness(t, "k0", "k1", "k2")
 	h.reply(5*ms, "k0", "prove", received)
 	h.submit(10*ms, 7, state.KindAcceptJob, 2*time.Second)
-	if h.requests[0].Urgent || h.requests[0].Question {
+	if h.requests[0].Urgent || h.requests[0].Query {
 		t.Error("a job command is marked as urgent or as a read")
 	}
 	h.submit(20*ms, 8, state.KindReadJob, 2*time.Second)
-	if h.requests[0].Urgent || !h.requests[0].Question {
+	if h.requests[0].Urgent || !h.requests[0].Query {
 		t.Error("a read after a job command is marked as urgent or not marked as a read")
 	}
 	h.submit(30*ms, 2, state.KindChangeConfig, 2*time.Second)
-	if !h.requests[0].Urgent || h.requests[0].Question {
+	if !h.requests[0].Urgent || h.requests[0].Query {
 		t.Error("an operator's command is not marked as urgent or is marked as a read")
 	}
 	h.reply(40*ms, "k0", state.KindChangeConfig, success)
--- a/core/paxos/sampled_test.go
+++ b/core/paxos/sampled_test.go
@@ -109,7 +109,7 @@
 				t.Errorf("decided in only %d of %d paths", decided, sampledPaths)
 			}
 			if row.forgetProbability > 0 && twice == 0 {
-				t.Error("no path with a forgetful acceptor decided two views")
+				t.Error("no path with an acceptor that loses its votes decided two views")
 			}
 		})
 	}
--- a/core/replica/commands_test.go
+++ b/core/replica/commands_test.go
@@ -147,7 +147,7 @@
 			c.kill(c.host(leader.replica.View().Backups[index].Address))
 			c.advance(4 * time.Second)
 			if leader.replica.View().Epoch == epoch || c.primary() != leader {
-				t.Fatalf("five %v: the backup was not replaced by the same leader\n%s", five, c.recentLog(30))
+				t.Fatalf("five %v: the primary has not replaced the backup, or has changed\n%s", five, c.recentLog(30))
 			}
 			// The leadership must not be unconfirmed for longer than it takes to suspect the backup.
 			if n := c.rejected[leader.address] - before; n > 0 {
--- a/core/wire/requests.go
+++ b/core/wire/requests.go
@@ -27,20 +27,20 @@
 	Retry bool `json:"resent,omitempty"`
 	// Urgent requests are handled before those of callers and workers.
 	Urgent bool `json:"urgent,omitempty"`
-	// Question is set if the command changes nothing. It is handled before those that
+	// Query is set if the command changes nothing. Queries are handled before commands that
 	// change the state.
-	Question bool          `json:"question,omitempty"`
-	Command  state.Command `json:"command"`
+	Query   bool          `json:"question,omitempty"`
+	Command state.Command `json:"command"`
 }
 
-// CoalescingKey returns a key for urgent requests and questions, and none for others. The key
+// CoalescingKey returns a key for urgent requests and queries, and none for others. The key
 // contains the request's ID, so that a waiting request is only replaced by a copy of itself.
 func (r CommandRequest) CoalescingKey() string {
 	id := strconv.FormatUint(r.ID, 36)
 	switch {
 	case r.Urgent:
 		return machine.UrgentKeyPrefix + id
-	case r.Question:
+	case r.Query:
 		return machine.QueryKeyPrefix + id
 	}
 	return ""
